--- a/packages/decide/sesamespindle/decide/core.py
+++ b/packages/decide/sesamespindle/decide/core.py
@@ -1,4 +1,8 @@
-"""The decision logic as a whole: one step from events to commands."""
+"""The decision logic of a daemon, as a state machine from events to commands.
+
+This one serves entries whose targets, contracts and pools an operator declares;
+`gateway` serves entry hosts on a platform that lists its own targets.
+"""
 
 from sesamespindle.decide import (
     admission,
@@ -19,20 +23,20 @@
 
 
 class Core:
-    """Everything that a daemon decides.
+    """All decisions of one daemon; it does no input or output itself.
 
     Parameters
     ----------
     me : events.Host
         This daemon's own entry host.
     policy : world.Policy, optional
-        The numbers in force.
+        The timeouts and limits to apply.
     seed : int
         The seed of all random choices.
     seeds : tuple of str
-        Peer addresses to begin with where the platform is away.
+        Addresses of the first peers to contact while the platform is unavailable.
     key : str
-        The secret that all daemons share.
+        The secret that all daemons share, for the fingerprints of requests.
     """
 
     def __init__(self, me, policy=None, seed=0, seeds=(), key=""):
@@ -73,14 +77,14 @@
         )
 
     def step(self, now, happened):
-        """Take events in, in their order, and return the commands they lead to.
+        """Process events in order and return the resulting commands.
 
         Parameters
         ----------
         now : datetime.datetime
-            The present, by the daemon's clock.
+            The current time by the daemon's clock.
         happened : iterable
-            Records of `events`.
+            The events, most of them records of `events`.
 
         Returns
         -------
@@ -98,8 +102,21 @@
         """Return the entries that an account's callers should use, best first.
 
         Rendezvous hashing gives each account its own few entries in each data
-        centre, so that a rush meets few entries and an entry few accounts. The
-        nearest data centre comes first; the others follow for when it is lost.
+        centre. A burst of requests from one account then loads few entries, and
+        each entry serves few accounts. Entries of the nearest data centre come
+        first; those of the others follow as a fallback if it is lost.
+
+        Parameters
+        ----------
+        account : str
+            The account's name.
+        count : int
+            The most entries to return.
+
+        Returns
+        -------
+        entries : list of world.EntryRow
+            Live entries in reachable data centres.
         """
         live = [
             row
@@ -112,11 +129,14 @@
         return ranked[:count]
 
     def is_watcher(self):
-        """Return whether this daemon watches the platform for its data centre."""
+        """Return whether this daemon is the one that watches the platform.
+
+        The others of its data centre receive changes by gossip.
+        """
         return self.membership.is_watcher()
 
     def models_of(self, account):
-        """Return the models that an account may use."""
+        """Return the `declared.Model` records that an account may use."""
         row = self.state.accounts.get(account)
         if row is None:
             return []
@@ -149,7 +169,7 @@
                 self._take_from_outside(event, now)
 
     def _take_from_outside(self, event, now):
-        """Take in what the platform, targets and peers tell."""
+        """Process an event that comes from the platform, a target or a peer."""
         match event:
             case events.LoadReported():
                 self._catalogue.report_load(event)
@@ -191,7 +211,7 @@
         self.calls.tick(now)
 
     def _usage(self, account, resource):
-        """Return what an account uses here, and what waits for a slot."""
+        """Return how many requests of an account run here, and how many are queued."""
         row = self.state.accounts.get(account)
         if row is None:
             return 0, 0
--- a/packages/decide/sesamespindle/decide/gateway.py
+++ b/packages/decide/sesamespindle/decide/gateway.py
@@ -29,18 +29,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Terms:
-    """What the platform promises and asks for.
+    """Limits that the platform requires every host to keep.
 
     Attributes
     ----------
     budget : budgets.BudgetRule
-        Repeated sends.
+        The retry budget of each service, for the whole fleet.
     lease_time : datetime.timedelta
-        How far apart the orders of two holders must lie.
+        The least time between the last order of one lease holder and the first
+        order of the next.
     weights_within : datetime.timedelta
-        Time from naming weights until no run begins on older ones.
+        Time after the announcement of a weight version from which no run may
+        begin on an older one.
     contact_time : datetime.timedelta
-        How long a host that has started isn't held to such times.
+        Grace period after a host's start in which such limits don't apply to it,
+        as it has to learn the state first.
     """
 
     budget: budgets.BudgetRule
@@ -51,42 +54,45 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigurationRead:
-    """A version of the configuration, from the platform or a peer."""
+    """The host has received a version of the configuration.
+
+    It comes from the platform or from a peer.
+    """
 
     configuration: routes.Configuration
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BecameReady:
-    """The host can serve for the first time; callers may be answered."""
+    """The host can serve requests, for the first time since its start."""
 
 
 class Gateway:
-    """Everything that a daemon on the platform decides.
+    """All decisions of one daemon on the platform; it does no input or output.
 
     Parameters
     ----------
     me : events.Host
         This daemon's own entry host.
     terms : Terms
-        The platform's figures.
+        The platform's limits.
     policy : world.Policy, optional
-        The numbers in force.
+        The timeouts and limits that operators set.
     seed : int
         The seed of all random choices.
     seeds : tuple of str
-        Peer addresses to begin with.
+        Addresses of the first peers to contact.
     started_at : datetime.datetime, optional
         When the process was started.
     key : str
-        The secret that all daemons share.
+        The secret that all daemons share, for the fingerprints of requests.
     """
 
     def __init__(
         self, me, terms, policy=None, seed=0, seeds=(), started_at=None, key=""
     ):
         self.state = world.World(me, policy, seed, started_at)
-        # Peers and callers are told of this host once it can serve.
+        # The URL stays empty until this host can serve; see `_announce_when_ready`.
         self.state.put_entry(catalogue.me_as_entry(dataclasses.replace(me, url="")))
         self.weights = weights.Weights(
             self.state, terms.weights_within, terms.contact_time
@@ -131,7 +137,25 @@
         )
 
     def step(self, now, happened):
-        """Take events in, in their order, and return the commands they lead to."""
+        """Process events in order and return the resulting commands.
+
+        Parameters
+        ----------
+        now : datetime.datetime
+            The current time by the daemon's clock.
+        happened : iterable
+            Events of `events` and of the modules of the parts of a gateway.
+
+        Returns
+        -------
+        commands : list
+            Commands of the same modules, to be carried out in this order.
+
+        Raises
+        ------
+        TypeError
+            If no part handles an event.
+        """
         self.state.pauses.note_step(now)
         for event in happened:
             self._take(event, now)
@@ -140,7 +164,10 @@
         return self.state.take_commands()
 
     def is_ready(self):
-        """Return whether requests can be served here."""
+        """Return whether this host can serve requests.
+
+        It needs a configuration and at least one target, and must not be leaving.
+        """
         return (
             self.forwarding.configuration is not None
             and len(self.state.targets) > 0
@@ -148,7 +175,15 @@
         )
 
     def addresses(self, data_centre, now):
-        """Return the addresses of entry hosts for a caller in a data centre."""
+        """Return the addresses of the entry hosts that a caller should use.
+
+        Parameters
+        ----------
+        data_centre : str
+            Where the caller is.
+        now : datetime.datetime
+            The current time.
+        """
 
         def reachable(name):
             return self.membership.is_reachable(name, now)
@@ -178,13 +213,16 @@
                 self.membership.has_left(now)
             case _:
                 if not any(system.take(event, now) for system in self._systems):
-                    raise TypeError(f"No system takes {event!r}.")
+                    raise TypeError(
+                        f"No part of the gateway handles the event {event!r}."
+                    )
 
     def _adopt(self, configuration, now):
-        """Put a configuration in force, unless a later one is.
+        """Make a configuration the active one, unless its version is not higher.
 
-        Guards against an old read, or a peer that is behind, taking a change
-        back: the version only rises within one life of the process.
+        Guards against a stale read, or a peer that is behind, undoing a change.
+        Requests would be routed and checked by the old configuration again. The
+        active version only rises within one incarnation of the process.
         """
         current = self.forwarding.configuration
         if current is not None and configuration.version <= current.version:
@@ -198,7 +236,7 @@
 
     def _tick(self, now):
         if self.forwarding.configuration is None:
-            # A host that the platform turns away asks peers at every tick.
+            # The platform may be refusing this host; peers may have a configuration.
             self.membership.spread(now)
         self.weights.tick(now)
         self.crashes.tick(now)
@@ -212,10 +250,11 @@
             self.stores.free_replaced(self._salt_is_kept, now)
 
     def _announce_when_ready(self, now):
-        """Have callers sent here from when requests can be served, not before.
+        """Publish this host's URL to peers and callers once it can serve requests.
 
-        Guards against a host that has just started, knows no configuration
-        because the platform turns it away, and refuses all that callers send.
+        Guards against callers being directed to a host that has just started and
+        has no configuration, because the platform refuses it: it would refuse all
+        their requests. Without a URL a host is in no list that callers get.
         """
         me = self.state.entries.get(self.state.me.name)
         if me.url or not self.is_ready():
@@ -227,7 +266,11 @@
         self.membership.spread(now)
 
     def _salt_is_kept(self, salt):
-        """Return whether a salt may belong to weights that a target runs."""
+        """Return whether a salt may belong to weights that a target runs.
+
+        A salt names the KV cache of one weight version. Only salts of versions
+        older than every running one are known to be unused.
+        """
         version, _, _ = salt.partition(".")
         if not version.isdigit():
             return False
