--- a/packages/decide/sesamespindle/decide/calls.py
+++ b/packages/decide/sesamespindle/decide/calls.py
@@ -13,8 +13,9 @@
     tables,
 )
 
-# Keys are kept for longer than their claims are trusted, so that a claim of
-# this daemon's own is never judged after the key that explains it was dropped.
+# Keys are kept for longer than a claim of this daemon's own is trusted to be unused
+# (see `_is_unused`): the key shows whether a call was made under such a claim, so
+# it must still be there when the claim is checked.
 _CLAIM_TRUSTED_FOR = datetime.timedelta(hours=1)
 _KEY_KEPT_FOR = 2 * _CLAIM_TRUSTED_FOR
 _MAX_STARTS = 4
@@ -22,7 +23,7 @@
 
 @dataclasses.dataclass(slots=True)
 class CallRow:
-    """A call that waits for its claim, or runs."""
+    """A call that is queued, waits for its claim, or runs."""
 
     request_id: str
     account: str
@@ -39,23 +40,28 @@
     target: str = ""
     tried: set[str] = dataclasses.field(default_factory=set)
     may_have_run: bool = False
-    # What all attempts of the call have in common, also those with other keys.
+    # The same for all attempts of the call, also when its caller changes the key.
     request_fingerprint: str = ""
-    # The life of the target that it was sent to last, and when.
+    # The target incarnation that it was last sent to, and when.
     life: lives.Life | None = None
     sent_at: datetime.datetime | None = None
 
 
 @dataclasses.dataclass(slots=True)
 class KeyRow:
-    """What this daemon knows of a key that it took.
+    """The idempotency record of a key whose call this daemon accepted.
 
-    Rows outlive their calls, so that a repeat never runs again here.
+    Rows of calls that may have run are kept when the call ends, so that a repeated
+    request doesn't run again here.
 
     Attributes
     ----------
+    nonce : str
+        Tells the claim of this key from others of the same entry.
     taken_at : datetime.datetime
         When the key was first seen here.
+    answer : events.StoredAnswer or None
+        The answer that repeated requests get; None while there is none.
     """
 
     account_and_key: str
@@ -67,20 +73,20 @@
 
 
 class Calls:
-    """Decides whether, where and how often a call is made.
+    """Decides whether, where and how often a call is sent.
 
     Parameters
     ----------
     state : world.World
         The shared tables.
     admission : admission.Admission
-        The slots of accounts for calls.
+        The call slots and the queue of each account.
     crashes : crashes.Crashes
-        Is told how attempts end.
+        Receives how attempts end, to detect crashes of targets.
     quarantine : quarantine.Quarantine
-        Knows which calls crash targets.
+        Which calls are suspected of crashing targets.
     fingerprints : fingerprints.Fingerprints
-        Names calls.
+        Computes the fingerprints of calls.
     """
 
     def __init__(self, state, admission, crashes, quarantine, fingerprints):
@@ -93,7 +99,15 @@
         self.keys: tables.Table[KeyRow] = tables.Table("account_and_key")
 
     def arrive(self, event, now):
-        """Take a call in: look its key up, claim it, and make it."""
+        """Answer a new call from its key, refuse it, or queue it.
+
+        Parameters
+        ----------
+        event : events.CallArrived
+            The call.
+        now : datetime.datetime
+            The current time.
+        """
         account = self._state.accounts.get(event.account)
         pool = self._state.pools.get(event.pool)
         if account is None or pool is None or not _may_use(account, pool):
@@ -120,7 +134,7 @@
                 self._state,
                 event.request_id,
                 commands.Code.CONCURRENCY,
-                "The account has as many calls running as its contract allows.",
+                "The account already runs as many calls as its contract allows.",
                 wait,
             )
             return
@@ -133,28 +147,38 @@
         self.drain(now)
 
     def may_outlast_host(self, deadline):
-        """Return whether this host leaves and may end before a call does.
+        """Return whether this host is leaving and may end before a call does.
 
-        Guards against a booking that is cut off at the host's end, of which
-        nobody knows whether it was made: there is time until its deadline, and
-        nothing less is known of how long it takes.
+        Guards against a booking that is cut off when the host ends, so that nobody
+        knows whether it was made. The deadline is compared, as it is the only known
+        bound on the call's duration.
         """
         departure = self._state.departure
         return departure is not None and departure.may_cut_off(deadline)
 
     def remember(self, event, answer, now):
-        """Keep the answer to a key, as if its call had just been made here."""
+        """Store the answer to a key, as if its call had just been answered here.
+
+        Parameters
+        ----------
+        event : events.CallArrived
+            The call with the key.
+        answer : events.StoredAnswer
+            What repeated requests with the key get.
+        now : datetime.datetime
+            The current time.
+        """
         self._add_key(_row(event, now), now)
         known = self.keys.get(_key_id(event.account, event.key))
         known.state = events.ClaimState.DONE
         known.answer = answer
 
     def knows_key(self, account, key):
-        """Return whether this daemon has taken a key, and still keeps it."""
+        """Return whether this daemon has a record of an account's key."""
         return _key_id(account, key) in self.keys
 
     def drain(self, now):
-        """Start queued calls while there are slots for them."""
+        """Start queued calls while their accounts have free slots."""
         while True:
             request_id = self._admission.take(now)
             if request_id is None:
@@ -162,7 +186,11 @@
             self._open(self.rows.get(request_id), now)
 
     def _open(self, row, now):
-        """Start with the claim, where the key needs one."""
+        """Start a call that has a slot; a key that the caller chose needs a claim.
+
+        The claim is taken first. A ticket's key needs none, since only the entry
+        that issued the ticket runs its call.
+        """
         account = self._state.accounts.get(row.account)
         if account is None:
             self._give_up_unrun(
@@ -188,7 +216,10 @@
         )
 
     def _answer_repeat(self, event):
-        """Answer a key that this daemon has taken before; True if it has."""
+        """Answer a call whose key this daemon knows; return whether it was answered.
+
+        A key whose call did not run counts as new.
+        """
         known = self.keys.get(_key_id(event.account, event.key))
         if known is None:
             return False
@@ -197,7 +228,7 @@
                 self._state,
                 event.request_id,
                 commands.Code.KEY_REUSED,
-                "The key was used before for another request.",
+                "The idempotency key was already used for a different request.",
             )
         elif known.state is events.ClaimState.NOT_RUN:
             return False
@@ -206,7 +237,19 @@
         return True
 
     def _answer_claim(self, request_id, claim_state, answer, holder_lives):
-        """Answer a repeat by what is known of the first run."""
+        """Answer a repeated call with what is known of the first one.
+
+        Parameters
+        ----------
+        request_id : str
+            The repeated call.
+        claim_state : events.ClaimState
+            How far the first call got.
+        answer : events.StoredAnswer or None
+            Its answer, if it is done.
+        holder_lives : bool
+            Whether the entry that made the first call may still run it.
+        """
         match claim_state:
             case events.ClaimState.DONE:
                 self._state.emit(
@@ -252,7 +295,7 @@
         )
 
     def claim_taken(self, event, now):
-        """Make the call: the claim is ours."""
+        """Send the call whose claim this daemon now holds."""
         row = self.rows.get(event.request_id)
         if row is None:
             return
@@ -260,7 +303,11 @@
         self._send(row, now)
 
     def claim_found(self, event, now):
-        """Answer from another run's claim, or take over one that did not run."""
+        """Handle a claim that already exists for the key of a call.
+
+        The call is answered from it, unless the claim's own call did not run; then
+        this one takes the claim over.
+        """
         row = self.rows.get(event.request_id)
         if row is None:
             return
@@ -271,7 +318,7 @@
                 self._state,
                 row.request_id,
                 commands.Code.KEY_REUSED,
-                "The key was used before for another request.",
+                "The idempotency key was already used for a different request.",
             )
         elif claim.state is events.ClaimState.NOT_RUN or self._is_unused(claim, now):
             self._take_claim(row, replaces=event.version)
@@ -282,11 +329,12 @@
             )
 
     def _is_unused(self, claim, now):
-        """Return whether a claim is our own and led to no call.
+        """Return whether a claim is this incarnation's own and no call was sent for it.
 
-        A create whose answer came too late leaves a claim behind, after the
-        caller was told "not run". This incarnation keeps every key that it
-        made a call for, so a claim of its own found by a new row was not run.
+        If the platform's answer to the creation of a claim comes too late, the
+        claim exists although the caller was told "not run". This incarnation keeps
+        every key that it sent a call for, and such a key is answered before a claim
+        is looked up. So a claim of its own that is found here was never run.
         """
         me = self._state.me
         if now - claim.taken_at >= _CLAIM_TRUSTED_FOR:
@@ -300,9 +348,9 @@
     def _holder_lives(self, claim):
         """Return whether the entry that holds a claim may still run its call.
 
-        Guards against callers that ask again and again for the end of a call
-        whose entry has left or died: nobody will record it any more. The claim
-        stays the entry's own all the same, and is never run by another.
+        Guards against callers that keep retrying because they are told "still
+        running" about a call whose entry has left or died: nobody will record how
+        it ended. No other entry takes over such a claim, as the call may have run.
         """
         holder = self._state.entries.get(claim.entry)
         return (
@@ -312,10 +360,11 @@
         )
 
     def claim_failed(self, event, now):
-        """Refuse at once: without a claim nothing is run.
+        """Refuse a call whose claim could not be recorded, as it must not run.
 
-        The claim may have been written all the same, or may yet be. It is
-        disowned in the background, so that a later repeat can run.
+        The claim may have been written nevertheless, or may be written later. A
+        command marks it as not run in the background, so that a repeated call can
+        run.
         """
         row = self.rows.get(event.request_id)
         if row is None:
@@ -329,16 +378,16 @@
             self._state,
             row.request_id,
             commands.Code.PLATFORM_AWAY,
-            "The key can't be recorded now. A ticket would work.",
+            "The idempotency key can't be recorded now. Use a ticket instead.",
             self._state.policy.retry_after,
         )
 
     def _send(self, row, now):
-        """Make the call, if there is still time for it.
+        """Send the call to a target, unless its deadline has passed.
 
-        Guards against an entry that was paused between claim and call: it
-        wakes past the deadline, when the caller has been told or has gone, and
-        must not run the call then.
+        Guards against an entry that is paused between claim and send, and resumes
+        after the deadline. Its caller has had another answer or has left by then,
+        so the call must not run.
         """
         if now >= row.deadline:
             self._give_up_unrun(
@@ -368,10 +417,11 @@
         )
 
     def end_attempt(self, event, now):
-        """Decide what the caller is told after a call that gave no answer.
+        """Retry a call whose attempt ended without an answer, or refuse it.
 
-        Only a call of which no byte left is tried elsewhere. Guards against a
-        second run: once bytes left, the service may have run it.
+        Guards against a call that runs twice: once a byte of it was sent, the service
+        may have run it. Only calls of which nothing was sent, and calls that are
+        declared repeatable, go to another target.
         """
         row = self.rows.get(event.request_id)
         if row is None or row.attempt != event.attempt:
@@ -398,7 +448,7 @@
         self._give_up_unknown(row, now)
 
     def answered(self, event, now):
-        """Give the caller the answer, and keep it for repeats."""
+        """Pass an answer to its caller, and store it for repeated calls."""
         row = self.rows.get(event.request_id)
         if row is None or row.attempt != event.attempt:
             return
@@ -414,21 +464,21 @@
         self._forget(row, now, keep_key=True)
 
     def tick(self, now):
-        """Give up calls that waited too long, and drop keys kept long enough."""
+        """Refuse calls that were queued too long, and drop expired keys."""
         patience = self._state.policy.queue_patience
         for row in [row for row in self.rows if row.started_at is None]:
             if now - row.arrived_at > patience or now >= row.deadline:
                 self._give_up_unrun(
                     row,
                     commands.Code.CONCURRENCY,
-                    "No slot of the account's limit came free in time.",
+                    "No slot of the account's limit became free in time.",
                     now,
                 )
         self._drop_old_keys(now)
         self.drain(now)
 
     def _drop_old_keys(self, now):
-        """Drop keys from the oldest on; the table is in the order of arrival."""
+        """Drop expired keys; the table is in order of arrival, oldest first."""
         while len(self.keys):
             oldest = next(iter(self.keys))
             if now - oldest.taken_at < _KEY_KEPT_FOR:
@@ -456,7 +506,7 @@
         )
 
     def _settle(self, row, claim_state, answer=None):
-        """Keep how a run ended, here and, for a claim, on the platform."""
+        """Record how a call ended, here and, if it has a claim, on the platform."""
         if not row.key:
             return
         known = self.keys.get(_key_id(row.account, row.key))
