--- a/packages/decide/sesamespindle/decide/prompts.py
+++ b/packages/decide/sesamespindle/decide/prompts.py
@@ -1,4 +1,4 @@
-"""Prompts from arrival to end: admission, queueing, sending, recovery."""
+"""Prompts from arrival to final answer: admission, queueing, sending, recovery."""
 
 import dataclasses
 import datetime
@@ -22,17 +22,27 @@
 
 @dataclasses.dataclass(slots=True)
 class PromptRow:
-    """A prompt that waits or runs.
+    """A prompt that is queued or runs.
 
     Attributes
     ----------
     ids : tuple of str
-        The chain of block ids.
+        The ids of its KV cache blocks, each of which covers all text up to it.
+    home_key : str
+        What rendezvous hashing ranks the engines by: the account and the context.
+    attempt : int
+        The number of the last attempt, counting starts and resumes.
+    starts : int
+        Attempts that started the generation anew.
+    resumes : int
+        Attempts to reconnect to the stream since the last start.
     version : str
-        The weight version that its first token came from; empty before that.
+        The weight version that generated its first token; empty before that.
     resume_target : str
         The target of a stream that another entry began, so that the text
         already delivered isn't known here; empty for a prompt begun here.
+    delivered : int
+        Tokens that the caller already has.
     """
 
     request_id: str
@@ -55,26 +65,26 @@
     delivered: int = 0
     version: str = ""
     fingerprint: str = ""
-    # The life of the target that it was sent to last, and when.
+    # The target incarnation that it was last sent to, and when.
     life: lives.Life | None = None
     sent_at: datetime.datetime | None = None
 
 
 class Prompts:
-    """Decides which prompt runs where and when, and what happens after a fault.
+    """Decides where and when each prompt runs, and how it recovers from failures.
 
     Parameters
     ----------
     state : world.World
         The shared tables.
     admission : admission.Admission
-        The slots of accounts for prompts.
+        The prompt slots and the queue of each account.
     crashes : crashes.Crashes
-        Is told how attempts end.
+        Receives how attempts end, to detect crashes of targets.
     quarantine : quarantine.Quarantine
-        Knows which prompts crash targets.
+        Which prompts are suspected of crashing targets.
     fingerprints : fingerprints.Fingerprints
-        Names prompts.
+        Computes the fingerprints of prompts.
     """
 
     def __init__(self, state, admission, crashes, quarantine, fingerprints):
@@ -87,7 +97,15 @@
         self.contexts = contexts.Contexts()
 
     def arrive(self, event, now):
-        """Queue a prompt, or refuse it at once."""
+        """Queue a new prompt, or refuse it at once.
+
+        Parameters
+        ----------
+        event : events.PromptArrived
+            The prompt.
+        now : datetime.datetime
+            The current time.
+        """
         state = self._state
         model = state.models.get(event.model)
         account = state.accounts.get(event.account)
@@ -104,7 +122,7 @@
                 self._state,
                 event.request_id,
                 commands.Code.CONTEXT_TOO_LONG,
-                f"The model takes {model.context_tokens} tokens in all.",
+                f"The model's context holds {model.context_tokens} tokens.",
             )
             return
         fingerprint = self._fingerprints.of(event.account, event.content)
@@ -113,8 +131,8 @@
             refusals.refuse_quarantined(state, event.request_id, refusal)
             return
         if state.departure is not None and state.departure.is_over:
-            # Before that prompts are taken whatever they may last: one that is cut
-            # off can be read on, or sent again, at another entry without harm.
+            # Until then a leaving host accepts prompts of any duration: one that is
+            # cut off can be resumed or sent again at another entry.
             refusals.refuse_leaving(state, event.request_id)
             return
         wait = self._admission.expected_wait(account, now)
@@ -123,7 +141,7 @@
                 self._state,
                 event.request_id,
                 commands.Code.CONCURRENCY,
-                "The account has as many prompts running as its contract allows.",
+                "The account already runs as many prompts as its contract allows.",
                 wait,
             )
             return
@@ -132,7 +150,7 @@
         self.drain(now)
 
     def drain(self, now):
-        """Start queued prompts while there are slots for them."""
+        """Start queued prompts while their accounts have free slots."""
         while True:
             request_id = self._admission.take(now)
             if request_id is None:
@@ -140,7 +158,7 @@
             self._start(self.rows.get(request_id), now)
 
     def tick(self, now):
-        """Give up prompts whose time has passed, and start what can start."""
+        """Refuse prompts that were queued too long, and start others if possible."""
         for row in [row for row in self.rows if row.started_at is None]:
             waited_too_long = now - row.arrived_at > self._state.policy.queue_patience
             if waited_too_long or now >= row.deadline:
@@ -149,13 +167,17 @@
                     self._state,
                     row.request_id,
                     commands.Code.CONCURRENCY,
-                    "No slot of the account's limit came free in time.",
+                    "No slot of the account's limit became free in time.",
                     self._state.policy.retry_after,
                 )
         self.drain(now)
 
     def first_token(self, event, now):
-        """Learn where the context is now, and which weights the answer is of."""
+        """Record that an answer has begun.
+
+        Its target now holds the KV cache of the prompt, and its weight version
+        becomes that of the whole answer.
+        """
         row = self.rows.get(event.request_id)
         if row is None:
             return
@@ -169,7 +191,15 @@
         self.contexts.learn(row.ids, row.target, now)
 
     def end_attempt(self, event, now):
-        """Decide how a prompt goes on after an attempt ended."""
+        """Finish, resume, restart or refuse a prompt after an attempt has ended.
+
+        Parameters
+        ----------
+        event : events.AttemptEnded
+            How the attempt ended; ignored if it isn't the prompt's last attempt.
+        now : datetime.datetime
+            The current time.
+        """
         row = self.rows.get(event.request_id)
         if row is None or row.attempt != event.attempt:
             return
@@ -201,7 +231,7 @@
                 )
 
     def _tell_crashes(self, row, ending, now):
-        """Tell how an attempt ended, as far as it says whether its target lives."""
+        """Report what an attempt's end shows about whether its target has crashed."""
         if row.sent_at is None:
             return
         match ending:
@@ -215,7 +245,7 @@
                 self._crashes.left(row.fingerprint, row.life, now)
 
     def leave(self, request_id, now):
-        """Forget a prompt whose caller is gone or has its answer."""
+        """Remove a prompt whose caller has left or has its answer."""
         row = self.rows.get(request_id)
         if row is not None:
             if row.sent_at is not None:
@@ -244,7 +274,7 @@
         self._send(row, now)
 
     def _take_over(self, row, now):
-        """Read on a stream that another entry began."""
+        """Resume a stream that another entry began."""
         target = self._state.targets.get(row.resume_target)
         if target is None or not target.url:
             self._give_up_taken_over(row, now)
@@ -254,9 +284,11 @@
         self._resume(row, target, now)
 
     def _give_up_taken_over(self, row, now):
-        """Refuse to go on with an answer whose beginning isn't known here.
+        """Refuse to continue an answer that another entry began.
 
-        Guards against splicing the end of another generation onto it.
+        Guards against an answer of two different generations: the text delivered so
+        far isn't known here, so no target can be asked to continue it, and the rest
+        of a new generation would not fit.
         """
         self._give_up(
             row,
@@ -276,7 +308,7 @@
             self._give_up(
                 row,
                 commands.Code.NO_TARGET,
-                "No target of the pool can take the prompt now.",
+                "No target of the pool can accept the prompt now.",
                 now,
                 retry_after,
             )
@@ -286,7 +318,7 @@
             self._give_up(
                 row,
                 commands.Code.OVERLOADED,
-                "The pool has more work than it can start in time.",
+                "The pool has too much queued work to start the prompt in time.",
                 now,
                 datetime.timedelta(seconds=place.expected_seconds / 2),
             )
@@ -323,18 +355,22 @@
         )
 
     def _version_at(self, row, target):
-        """Return the weight version that a prompt asks for at a target.
+        """Return the weight version that a prompt requires of a target.
 
-        Guards against blocks of one version being read under another while
-        weights are swapped: the blocks' ids are made for the version that the
-        target last reported, and the target refuses the prompt if it has
-        another by now. A continued answer keeps the version that it began on.
+        Guards against KV cache of one weight version being used with another while
+        weights change, which would give wrong answers. The salt of the blocks
+        includes the version that the target last reported, and a target refuses
+        the prompt if it runs another version by then. A continued answer keeps the
+        version that it began on.
         """
         model = self._state.models.get(row.model)
         return row.version or target.version or (model.version if model else "")
 
     def _store_url(self, target, now):
-        """Return the store host of a target's pool that is nearest to it."""
+        """Return the URL of the store host nearest to a target, or an empty string.
+
+        Only usable stores of the target's pool count.
+        """
         pool = self._state.pools.get(target.pool)
         stores = [
             store
@@ -349,7 +385,7 @@
         return store.url if store else ""
 
     def _resume(self, row, target, now):
-        """Read on from the same stream, so that nothing is generated twice."""
+        """Reconnect to the same stream, so that no token is generated twice."""
         policy = self._state.policy
         if target is None or row.resumes >= policy.resume_attempts:
             self._fail(target, now)
@@ -376,7 +412,10 @@
             self._give_up_taken_over(row, now)
         elif row.may_have_run and self._quarantine.suspicion(row.fingerprint) > 1:
             self._give_up(
-                row, commands.Code.SUSPECTED, "Targets crashed under the prompt.", now
+                row,
+                commands.Code.SUSPECTED,
+                "Targets crashed while they ran the prompt.",
+                now,
             )
         elif row.starts >= policy.max_attempts:
             self._give_up(
@@ -390,7 +429,7 @@
             self._give_up(
                 row,
                 commands.Code.RETRY_BUDGET,
-                "The pool fails more often than retries are allowed for.",
+                "The retry budget of the pool is spent.",
                 now,
                 retry_after,
             )
@@ -398,7 +437,7 @@
             self._send(row, now, retry_after)
 
     def _give_up(self, row, code, message, now, retry_after=None):
-        """Give the final answer now; "not run" only where that is sure."""
+        """Refuse a prompt; the outcome is "not run" only if that is certain."""
         refuse = refusals.refuse_unknown if row.may_have_run else refusals.refuse_unrun
         self._drop(row, now)
         wait = retry_after or self._state.policy.retry_after
@@ -424,7 +463,7 @@
 
 
 def may_use(account, model):
-    """Return whether an account's contract covers a model's pool."""
+    """Return whether an account's contract covers the pool of a model."""
     pools = account.contract.pools
     return not pools or model.pool in pools
 
