--- a/packages/decide/sesamespindle/decide/prompts.py
+++ b/packages/decide/sesamespindle/decide/prompts.py
@@ -122,7 +122,8 @@
                 self._state,
                 event.request_id,
                 commands.Code.CONTEXT_TOO_LONG,
-                f"The model's context holds {model.context_tokens} tokens.",
+                f"The model's context holds {model.context_tokens} tokens, "
+                "prompt and answer together.",
             )
             return
         fingerprint = self._fingerprints.of(event.account, event.content)
