--- a/packages/decide/sesamespindle/decide/sendlog.py
+++ b/packages/decide/sesamespindle/decide/sendlog.py
@@ -1,25 +1,29 @@
-"""What the log and callers are told of a choice, with the inputs that decided it."""
+"""Texts that explain the choice of a target, for the log and for callers."""
 
 from sesamespindle.decide import placement
 
 
 def explain(configuration, flight, row, place, replaced, now):
-    """Return the inputs of a choice, for the log.
+    """Return the inputs of the choice of a target, for the log.
 
     Parameters
     ----------
     configuration : routes.Configuration
-        The one in force.
+        The active configuration.
+    flight : flights.Flight
+        The request.
     row : world.TargetRow
         The target that was chosen.
     place : promptplacing.Place or None
-        None for a call to a plain service.
+        The placement of a prompt; None for a call to a plain service.
     replaced : weights.Replacement or None
-        What has replaced the weights that the prompt is to run on.
+        What superseded the weights that the prompt is to run on.
+    now : datetime.datetime
+        The current time.
     """
     text = (
         f"Configuration {configuration.version}, route {flight.route.name}, "
-        f"load {row.reported_load}, {row.running_here} from here, "
+        f"reported load {row.reported_load}, {row.running_here} in flight from here, "
         f"fingerprint {flight.fingerprint or 'unknown'}"
     )
     if place is None:
@@ -36,25 +40,35 @@
     queued = placement.queue_seconds(row, now) * 1000
     return (
         f"{text}, context {request.affinity or 'none'}, "
-        f"{'at home' if place.at_home else 'away from home'}, "
+        f"{'the preferred engine' if place.at_home else 'another engine'}, "
         f"{_describe_version(flight.version, replaced, now)}, "
         f"{request.prompt_tokens} tokens, "
-        f"{fetched} to fetch, {saved} parts to save, {queued:.0f} ms queued."
+        f"{fetched} to fetch, {saved} parts to save, {queued:.0f} ms expected wait."
     )
 
 
 def describe_targets(rows, entries, now):
-    """Return what is known of a service's targets, for the caller's log."""
+    """Return a summary of a service's targets, for the message of a refusal.
+
+    Parameters
+    ----------
+    rows : list of world.TargetRow
+        The targets of the service.
+    entries : int
+        The number of live entry hosts.
+    now : datetime.datetime
+        The current time.
+    """
     usable = sum(row.usable(now) for row in rows)
     running = sum(row.running_here for row in rows)
     return (
         f"Of {len(rows)} targets {usable} may be used; "
-        f"{running} requests run from here, {entries} entries."
+        f"{running} requests are in flight from here, {entries} entries are live."
     )
 
 
 def _describe_version(version, replaced, now):
-    """Return what weights a send is to run on, and since when they're replaced."""
+    """Return a send's weight version, and how long ago it was superseded."""
     text = f"version {version}"
     if replaced is None:
         return text
--- a/packages/decide/sesamespindle/decide/sends.py
+++ b/packages/decide/sesamespindle/decide/sends.py
@@ -1,4 +1,7 @@
-"""Sends of requests to targets, and how they end."""
+"""Commands that send requests to targets, and how sends end.
+
+A send is one attempt of a request at one target.
+"""
 
 import dataclasses
 import datetime
@@ -8,28 +11,29 @@
 
 
 class Ending(enum.Enum):
-    """How a send to a target ended, other than with an answer to pass on."""
+    """How a send ended, other than with an answer that is relayed to the caller."""
 
-    # Nothing left this host: the connection could not be made.
+    # Nothing was sent: the connection could not be made.
     UNREACHABLE = "unreachable"
-    # Nor could it here: nobody listens at the target's address.
+    # Nothing was sent: nothing listens at the target's address.
     REFUSED = "refused"
-    # The target says that it did not run the request: it is full or leaving.
+    # The target says that it did not run the request, as it is full or leaving.
     TURNED_AWAY = "turned_away"
-    # Another target has the address now.
+    # Another target, or another incarnation of this one, uses the address now.
     WRONG_TARGET = "wrong_target"
-    # The target runs other weights than expected.
+    # The target runs another weight version than the request expects.
     WRONG_VERSION = "wrong_version"
-    # The target ran the request and failed it.
+    # The target ran the request and answered with a failure.
     FAILED = "failed"
-    # It isn't known whether the request ran.
+    # The connection broke, so it isn't known whether the request ran.
     LOST = "lost"
-    # No answer began within the patience of the send.
+    # No answer began within the timeout of the send.
     SILENT = "silent"
-    # It was taken back, by a `Withdraw`, before its answer had begun.
+    # A `Withdraw` cancelled it before its answer had begun.
     WITHDRAWN = "withdrawn"
 
 
+# The endings after which nothing of the request has reached a target.
 NOT_ARRIVED = frozenset((Ending.UNREACHABLE, Ending.REFUSED))
 # The endings after which a target may have begun to run the request.
 MAYBE_RAN = frozenset((Ending.FAILED, Ending.LOST, Ending.SILENT, Ending.WITHDRAWN))
@@ -41,14 +45,25 @@
 
     Attributes
     ----------
+    attempt : int
+        The number of the send among those of the request, from 1.
     until : datetime.datetime
-        When the target is to stop, and the caller gets a final answer.
-    patience : datetime.timedelta or None
-        Silence after which `Ending.SILENT` is reported; None to wait on.
+        The deadline, at which the target stops and the caller gets a final answer.
+    urgency : int
+        What the target sorts its queue by, 0 first.
     version : int or None
-        The weight version that must run it.
+        The weight version that the target must run; None for plain services.
+    salt : str or None
+        The name under which the target keeps the KV cache of the prompt.
+    transfers : kvstores.Transfers
+        Which prompt parts the target fetches from, and saves to, where.
+    patience : datetime.timedelta or None
+        Timeout for the first byte, after which `Ending.SILENT` is reported; None
+        for no timeout.
+    reason : str
+        Why this target was chosen, for the log.
     born : int
-        When the target's life began, as in `lives.Life`.
+        Start time of the target's incarnation, as in `lives.Life`.
     """
 
     request_id: str
@@ -70,7 +85,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PassOn:
-    """Give the caller the target's own failure."""
+    """Relay the target's own failure response to the caller."""
 
     request_id: str
 
@@ -79,12 +94,12 @@
 class Withdraw:
     """Close the connection of a send, unless its answer has begun meanwhile.
 
-    It then ends as `Ending.WITHDRAWN`.
+    The send then ends with `Ending.WITHDRAWN`.
 
     Attributes
     ----------
     reason : str
-        What decided it, for the log.
+        Why the send is withdrawn, for the log.
     """
 
     request_id: str
