--- a/packages/decide/sesamespindle/decide/budgets.py
+++ b/packages/decide/sesamespindle/decide/budgets.py
@@ -1,27 +1,28 @@
-"""Each daemon's share of a retry budget that the whole fleet keeps together."""
+"""Each daemon's share of a retry budget that applies to the whole fleet."""
 
 import dataclasses
 import datetime
 
 from sesamespindle.decide import retries
 
-# Part of the allowed ratio and slack that is used. The rest covers requests
-# that never arrive at a target, and entries that come and go in a window.
+# The share of the allowed ratio and slack that is used. The rest is a margin for
+# requests that never reach a target, and for entries that start or stop within a
+# window.
 _USED_SHARE = 0.8
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BudgetRule:
-    """How many repeated sends a service may get from the whole fleet.
+    """How many retries the targets of a service may get from the whole fleet.
 
     Attributes
     ----------
     ratio : float
-        Repeats for each request.
+        Retries allowed for each request.
     slack : float
-        Repeats in any window, whatever the number of requests.
+        Retries allowed in any window in addition, whatever the number of requests.
     window : datetime.timedelta
-        The sliding window.
+        Length of the sliding window.
     """
 
     ratio: float = 0.2
@@ -30,16 +31,17 @@
 
 
 class SharedBudgets:
-    """Repeated sends of one daemon, by service.
+    """The retry budgets of one daemon, by service.
 
-    Each daemon earns on its own requests and saves up at most its share of the
-    slack. Any window then sees at most the slack and what was earned in it,
-    summed over the fleet, without coordination.
+    Each daemon has a token bucket for each service. Its own requests fill the
+    bucket, and its capacity is the daemon's equal share of the slack. In any window
+    the whole fleet can then use at most the slack and the tokens earned in that
+    window, without coordination.
 
     Parameters
     ----------
     rule : BudgetRule
-        For the whole fleet.
+        The limits for the whole fleet.
     """
 
     def __init__(self, rule):
@@ -47,11 +49,22 @@
         self._budget_by_service = {}
 
     def earn(self, service, entries):
-        """Count the first send of a request."""
+        """Add the tokens of a new request.
+
+        Parameters
+        ----------
+        service : str
+            The service that the request is for.
+        entries : int
+            The number of live entry hosts, which share the slack.
+        """
         self._budget(service, entries).earn()
 
     def spend(self, service, entries):
-        """Return whether a request may be sent once more, and count it if so."""
+        """Return whether a retry is allowed, and take its token if so.
+
+        For the parameters see `earn`.
+        """
         return self._budget(service, entries).spend()
 
     def _budget(self, service, entries):
--- a/packages/decide/sesamespindle/decide/retries.py
+++ b/packages/decide/sesamespindle/decide/retries.py
@@ -1,32 +1,34 @@
-"""Retry budgets, and retry times that don't bring everybody back at once."""
+"""Retry budgets, and jittered retry delays that avoid synchronised retries."""
 
 import datetime
 
+# Defaults of `RetryBudget`.
 BUDGET_RATIO = 0.1
 BUDGET_BURST = 10.0
 _SPREAD = 0.5
-# The pause after a call of the platform that failed. Several of them fit into the
-# time that a change may take, and a fleet of hundreds stays below the platform's
-# rates. After some it grows to 1 s, and half of that for the spread: a return is
-# noticed within half of the 3 s after which hosts are held to their times again.
+# The pause after a failed call to the platform. It is short enough for several
+# calls within the time that a change may take to arrive, and long enough that
+# hundreds of hosts stay below the platform's rate limits. After `_QUICK_TRIES`
+# failures it doubles up to 1 s, or 1.5 s with jitter. So hosts notice the
+# platform's return within half of the 3 s after which their time limits apply again.
 _OUTAGE_PAUSE = datetime.timedelta(milliseconds=250)
 _QUICK_TRIES = 4
 _MAX_DOUBLINGS = 2
 
 
 class RetryBudget:
-    """Tokens that first attempts earn and retries spend.
+    """A token bucket that first attempts fill and retries drain.
 
-    Guards against retries that finish off a target which is only slow: over
-    any long time at most `BUDGET_RATIO` of the attempts are retries. Each pool
-    has its own, so a failing pool can't spend another's.
+    Guards against retries that overload targets which are only slow. Over a long
+    time there are at most `ratio` retries for each first attempt. Each pool or
+    service has its own budget, so a failing one can't spend that of another.
 
     Parameters
     ----------
     ratio : float
-        Retries earned by each first attempt.
+        Tokens that each first attempt adds; a retry costs one token.
     burst : float
-        The most retries that may be saved up.
+        Capacity of the bucket, in tokens. It starts full.
     """
 
     def __init__(self, ratio=BUDGET_RATIO, burst=BUDGET_BURST):
@@ -35,16 +37,16 @@
         self._tokens = burst
 
     def earn(self):
-        """Count a first attempt."""
+        """Add the tokens of a first attempt."""
         self._tokens = min(self._tokens + self._ratio, self._burst)
 
     def limit(self, burst):
-        """Change how many retries may be saved up."""
+        """Change the capacity of the bucket; tokens above it are lost."""
         self._burst = burst
         self._tokens = min(self._tokens, burst)
 
     def spend(self):
-        """Return whether a retry may be made, and count it if so."""
+        """Return whether a retry is allowed, and take its token if so."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
@@ -52,12 +54,12 @@
 
 
 def spread(base, random):
-    """Return a time from `base` to half as long again, drawn evenly.
+    """Return a random time between `base` and 1.5 times `base`, drawn evenly.
 
     Parameters
     ----------
     base : datetime.timedelta
-        The shortest wait.
+        The shortest time that is returned.
     random : random.Random
         The seeded source.
     """
@@ -65,21 +67,33 @@
 
 
 def backoff(attempt, random, first=datetime.timedelta(milliseconds=20)):
-    """Return how long to wait before the attempt with this number, from 2."""
+    """Return the delay before a retry: exponential backoff with jitter.
+
+    Parameters
+    ----------
+    attempt : int
+        The number of the coming attempt, from 2.
+    random : random.Random
+        The seeded source.
+    first : datetime.timedelta
+        The shortest delay before attempt 2. It doubles for each later attempt, up to
+        64 times.
+    """
     return spread(first * (2 ** min(attempt - 2, 6)), random)
 
 
 def outage_pause(failures, random):
-    """Return how long to wait before the platform is asked again.
+    """Return the delay before the next call to the platform after failed ones.
 
-    Guards against hosts that the platform turns away and that ask it all the while,
-    for 9 s three times a second about each kind of object; each refusal costs as
-    much as an answer. Peers tell them what changes meanwhile.
+    Guards against hosts that keep calling a platform which refuses them: without
+    backoff each asks for every kind of object three times a second throughout an
+    outage of 9 s, and each refusal costs the platform as much as an answer. The
+    delay does no harm, as peers send such hosts the changes meanwhile.
 
     Parameters
     ----------
     failures : int
-        Calls without an answer in a row, from 1.
+        Consecutive calls that failed, from 1.
     random : random.Random
         The seeded source.
     """
