--- a/packages/decide/sesamespindle/decide/routes.py
+++ b/packages/decide/sesamespindle/decide/routes.py
@@ -1,4 +1,4 @@
-"""Routes, services and client accounts as an operator's configuration has them."""
+"""Routes, services and client accounts of an operator's configuration."""
 
 import dataclasses
 import datetime
@@ -7,13 +7,13 @@
 
 
 class Repeats(enum.Enum):
-    """What a route's requests allow after a run that may have begun."""
+    """Whether a route's requests may run again after a run that may have begun."""
 
-    # Runs may be repeated freely.
+    # Runs may be repeated.
     IDEMPOTENT = "idempotent"
-    # At most one run, whatever happens.
+    # At most one run, also after a failure.
     ONCE = "once"
-    # A stream that another target can continue after the last whole event.
+    # A stream that another target can continue after the last complete event.
     RESUMABLE = "resumable"
 
 
@@ -27,20 +27,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """Where requests of one host and path prefix go.
+    """The route of requests for one host and path prefix.
 
     Attributes
     ----------
     public : bool
         Whether requests need no API key.
     timeout : datetime.timedelta
-        The longest that a request may be kept without its whole answer.
+        The longest time from a request's arrival to its complete answer.
     latency_goal : datetime.timedelta
-        The time within which an answer is of full use to its caller.
+        The time within which an answer has its full value to the caller.
     max_attempts : int
-        Targets that may begin to run one request.
+        The most runs of one request that targets may begin.
     rank : int
         Urgency, 0 first.
+    shares : tuple of Share
+        The services that the requests are split among.
     """
 
     name: str
@@ -58,14 +60,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Engines:
-    """What the engines of a service have in common.
+    """Properties shared by all engines of a service.
 
     Attributes
     ----------
+    slots : int
+        Runs that an engine can have at once.
     kv_capacity : int
-        Tokens that an engine's memory holds.
+        Tokens whose KV cache fits into an engine's memory.
     kv_token_bytes : int
-        Bytes of one token of KV cache.
+        Bytes of KV cache for one token.
     link_bits_per_second : float
         The rate at which an engine sends or receives KV cache.
     """
@@ -79,16 +83,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KvStore:
-    """A store of KV cache that keeps what it has until it is told to free it.
+    """A store of KV cache that keeps its contents until it is ordered to free them.
 
     Attributes
     ----------
     capacity : int
-        Tokens that it holds.
+        Tokens whose KV cache it can hold.
     first_byte : datetime.timedelta
-        What each transfer waits besides its time on the link.
+        Latency of each transfer before its first byte, besides the time on the link.
     followers : int
-        Questions for its changes that it holds at once; more are refused.
+        Long polls for its changes that it keeps open at once; it refuses more.
     """
 
     address: str
@@ -102,14 +106,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ColdStart:
-    """What targets bear that have just started.
+    """The warm-up of targets that have just started.
 
     Attributes
     ----------
     lasts : datetime.timedelta
         How long a target is cold after its start.
     per_second : float
-        Requests that it bears meanwhile, from all hosts together.
+        Requests per second that a cold target can serve, from all hosts together.
     """
 
     lasts: datetime.timedelta
@@ -118,14 +122,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Service:
-    """A group of equal targets, or a KV store.
+    """A group of interchangeable targets, or a KV store.
 
     Attributes
     ----------
     max_connections : int
         Connections that one target accepts from all callers together.
     cold_start : ColdStart or None
-        None where targets bear as much as ever from their start on.
+        The warm-up of its targets; None if they have full capacity from the start.
     """
 
     name: str
@@ -142,9 +146,9 @@
     Attributes
     ----------
     rank : int or None
-        Goes before the rank of the route.
+        Urgency of its requests, 0 first; compared before the rank of the route.
     isolated : bool
-        Whether it shares no KV cache with any other account.
+        Whether its KV cache is kept apart from that of all other accounts.
     """
 
     name: str
@@ -154,7 +158,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Configuration:
-    """One version of an operator's configuration, whole."""
+    """One complete version of an operator's configuration."""
 
     version: int
     routes: tuple[Route, ...] = ()
@@ -173,7 +177,7 @@
 
     @functools.cached_property
     def cold_start_by_service(self):
-        """The `ColdStart` of each service whose targets are cold at first."""
+        """The `ColdStart` of each service whose targets need a warm-up."""
         return {
             name: service.cold_start
             for name, service in self.service_by_name.items()
@@ -186,10 +190,14 @@
         Parameters
         ----------
         host : str
-            The host that the caller asked for, without a port.
+            The host name in the request, without a port.
         path : str
-            The path as it was sent, without the query. It is compared as it
-            stands, since targets get it as it stands.
+            The path as it was sent, without the query. It is compared without any
+            normalisation, since targets receive it unchanged.
+
+        Returns
+        -------
+        route : Route or None
         """
         route_by_prefix = self._route_by_prefix_by_host.get(host.lower())
         if route_by_prefix is None:
