--- a/packages/decide/sesamespindle/decide/admission.py
+++ b/packages/decide/sesamespindle/decide/admission.py
@@ -1,24 +1,26 @@
-"""Letting requests in by account: slots, fair queues, and early refusal."""
+"""Admission of requests by account: concurrency slots and fair queueing."""
 
 import datetime
 
 from sesamespindle.decide import fairqueue
 
+# Weight of the newest sample in the moving average of how long slots are held.
 _HOLDING_TIME_WEIGHT = 0.1
 _NO_WAIT = datetime.timedelta(0)
 
 
 class Admission:
-    """The requests of one resource that wait for slots of their accounts.
+    """Grants slots to the requests of one resource, fairly among accounts.
 
     Parameters
     ----------
     state : world.World
         The shared tables.
     resource : events.Resource
-        The limit of the contract that counts here.
+        Which limit of the contracts applies: that of prompts or of calls.
     slices : sliceholder.SliceHolder
-        The slots that this entry may use.
+        The slots that this entry may use: its slice, a leased share, of the limit of
+        each account.
     """
 
     def __init__(self, state, resource, slices):
@@ -28,11 +30,29 @@
         self._queue = fairqueue.FairQueue()
 
     def waiting(self, account):
-        """Return how many requests of an account wait."""
+        """Return how many requests of an account are queued.
+
+        Parameters
+        ----------
+        account : str
+            The account's name.
+        """
         return self._queue.waiting(account)
 
     def expected_wait(self, account, now):
-        """Return how long a new request of an account row would wait."""
+        """Return how long a new request of an account would be queued.
+
+        Parameters
+        ----------
+        account : world.AccountRow
+            The account.
+        now : datetime.datetime
+            The current time.
+
+        Returns
+        -------
+        wait : datetime.timedelta
+        """
         slots = self._slices.prospect(account, self._resource, now)
         usage = account.usage_by_resource[self._resource]
         free = slots - usage.running - self._queue.waiting(account.name)
@@ -41,24 +61,32 @@
         return usage.holding_time * ((1 - free) / max(slots, 1))
 
     def push(self, account, request_id, now):
-        """Queue a request, and ask for a larger slice if it needs one."""
+        """Queue a request, and request a larger slice if it needs one."""
         self._queue.push(account, request_id)
         self._slices.need(account, self._resource, now)
 
     def take(self, now):
-        """Return the id of the next request that has a slot, or None."""
+        """Dequeue the next request that has a slot; return its id, or None."""
         return self._queue.take(lambda name: self._has_slot(name, now), self._weight)
 
     def remove(self, account, request_id):
-        """Take out a request that no longer waits."""
+        """Remove a request that no longer waits; ignore one that isn't queued."""
         self._queue.remove(account, request_id)
 
     def begin(self, account):
-        """Count a request that starts against its account's slots."""
+        """Occupy a slot of an account for a request that starts."""
         account.usage_by_resource[self._resource].running += 1
 
     def end(self, account_name, held):
-        """Free the slot of a request that held it for a time."""
+        """Free the slot of a request.
+
+        Parameters
+        ----------
+        account_name : str
+            The account's name.
+        held : datetime.timedelta
+            How long the request held the slot.
+        """
         account = self._state.accounts.get(account_name)
         if account is None:
             return
@@ -69,7 +97,7 @@
     def _has_slot(self, name, now):
         account = self._state.accounts.get(name)
         if account is None:
-            # The contract has ended; the request is taken out to be refused.
+            # The contract has ended. The request leaves the queue to be refused.
             return True
         running = account.usage_by_resource[self._resource].running
         return running < self._slices.slots(account, self._resource, now)
--- a/packages/decide/sesamespindle/decide/fairqueue.py
+++ b/packages/decide/sesamespindle/decide/fairqueue.py
@@ -1,14 +1,14 @@
-"""Weighted fair queueing of requests by client account."""
+"""Weighted fair queueing of requests across client accounts."""
 
 import collections
 
 
 class FairQueue:
-    """Requests that wait for a slot, in turn by account and weight.
+    """The requests that wait for a slot, ordered by weighted fair queueing.
 
-    Each account has its own queue and a virtual time that rises by one over
-    its weight for each request taken. The account with the lowest virtual
-    time goes next, so a long queue of one account holds up nobody else.
+    Each account has its own queue and a virtual time. Each request taken from the
+    queue advances the virtual time by 1 / weight, and the account with the lowest
+    one is served next. So a long queue of one account doesn't delay the others.
     """
 
     def __init__(self):
@@ -17,22 +17,26 @@
         self._virtual_now = 0.0
 
     def push(self, account, request_id):
-        """Put a request at the end of its account's queue."""
+        """Append a request to its account's queue."""
         if not self._ids_by_account[account]:
-            # An account that was idle starts at the present, not in the past.
+            # An account gets no credit for the time in which it was idle.
             past = self._virtual_time_by_account.get(account, 0.0)
             self._virtual_time_by_account[account] = max(past, self._virtual_now)
         self._ids_by_account[account].append(request_id)
 
     def take(self, may_run, weight):
-        """Take out the next request of an account that may run, or None.
+        """Remove and return the next request, or None if no account has a free slot.
 
         Parameters
         ----------
         may_run : callable
-            Whether an account has a free slot, by its name.
+            Takes an account's name; returns whether the account has a free slot.
         weight : callable
-            An account's weight, by its name.
+            Takes an account's name; returns its weight, a positive number.
+
+        Returns
+        -------
+        request_id : str or None
         """
         ready = [name for name in self._ids_by_account if may_run(name)]
         if not ready:
@@ -45,7 +49,7 @@
         return request_id
 
     def remove(self, account, request_id):
-        """Take out a request that no longer waits."""
+        """Remove a request that no longer waits; ignore one that isn't queued."""
         queue = self._ids_by_account.get(account)
         if queue and request_id in queue:
             queue.remove(request_id)
--- a/packages/decide/sesamespindle/decide/refusals.py
+++ b/packages/decide/sesamespindle/decide/refusals.py
@@ -1,22 +1,30 @@
-"""Final answers to requests that are given up."""
+"""Refusals: final answers to requests that are not run, or not run again."""
 
 from sesamespindle.decide import commands, retries
 
 
 def refuse_unrun(state, request_id, code, message, wait=None):
-    """Refuse a request of which nothing reached a target.
+    """Refuse a request that no target can have run; its outcome is "not run".
 
     Parameters
     ----------
+    state : world.World
+        Where the refusal is emitted.
+    request_id : str
+        The request.
+    code : commands.Code
+        Why it is refused.
+    message : str
+        The reason in words, for the caller.
     wait : datetime.timedelta, optional
-        When it makes sense to come back; the caller is told up to half as much
-        again, so that refused callers don't come back together.
+        The shortest useful delay before a retry. The caller gets up to 1.5 times
+        as much, so that refused callers don't all retry at the same time.
     """
     _refuse(state, request_id, code, commands.Outcome.NOT_RUN, message, wait)
 
 
 def refuse_quarantined(state, request_id, refusal):
-    """Refuse a request as a `quarantine.Refusal` says."""
+    """Refuse a request with the code and message of a `quarantine.Refusal`."""
     state.emit(
         commands.Refuse(
             request_id,
@@ -29,7 +37,7 @@
 
 
 def refuse_leaving(state, request_id):
-    """Refuse a request that this host could cut off, as it leaves."""
+    """Refuse a request that this leaving host might not be able to finish."""
     refuse_unrun(
         state,
         request_id,
@@ -40,7 +48,10 @@
 
 
 def refuse_unknown(state, request_id, code, message, wait=None):
-    """Refuse a request that may have run; see `refuse_unrun`."""
+    """Refuse a request that may have run; its outcome is "unknown".
+
+    For the parameters see `refuse_unrun`.
+    """
     _refuse(state, request_id, code, commands.Outcome.UNKNOWN, message, wait)
 
 
