--- a/packages/decide/sesamespindle/decide/flights.py
+++ b/packages/decide/sesamespindle/decide/flights.py
@@ -1,4 +1,4 @@
-"""Requests under way, from their arrival to their final answer."""
+"""Requests in flight, from their arrival to their final answer."""
 
 import dataclasses
 import datetime
@@ -8,20 +8,30 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Request:
-    """A caller's request, as far as deciding goes.
+    """The properties of a caller's request that decisions depend on.
+
+    A prompt consists of prompt parts. Each is a segment that other prompts may
+    share, together with all parts before it.
 
     Attributes
     ----------
+    host : str
+        The host name that the caller asked for, without a port.
+    key : str or None
+        The API key; None if the caller sent none.
     deadline : datetime.datetime or None
-        When the caller gives up.
-    body_bytes : int
-        Length of the body; -1 where it isn't known.
-    content : bytes or None
-        From `fingerprints.of_content`; None where the body isn't known whole.
+        When the caller stops waiting for the answer.
+    model : str
+        The model of a prompt; empty for other requests.
     prompt : tuple of kvstores.Part
         The parts of the prompt, in order.
     answer_tokens : int
-        The most tokens of its answer.
+        The maximum length of the answer, in tokens.
+    body_bytes : int
+        Length of the body; -1 if it is unknown.
+    content : bytes or None
+        Digest of the body by `fingerprints.of_content`; None if the whole body
+        isn't known.
     """
 
     request_id: str
@@ -37,21 +47,21 @@
 
     @property
     def affinity(self):
-        """What the requests of one context have in common, or empty.
+        """The id that all requests of one context share, or an empty string.
 
-        The last part of a prompt is the request's own, so it is the part
-        before it.
+        The last part of a prompt belongs to the request alone, so this is the id of
+        the part before it.
         """
         return self.prompt[-2].part_id if len(self.prompt) > 1 else ""
 
     @property
     def prompt_tokens(self):
-        """All tokens of the prompt."""
+        """The length of the prompt, in tokens."""
         return sum(part.tokens for part in self.prompt)
 
     @property
     def held_tokens(self):
-        """Tokens of an engine's memory that it needs until it ends."""
+        """Tokens whose KV cache an engine holds until the run ends, at most."""
         return self.prompt_tokens + self.answer_tokens
 
 
@@ -61,12 +71,24 @@
 
     Attributes
     ----------
+    service : str
+        The service whose targets it is sent to.
+    until : datetime.datetime
+        Its deadline: the end of the route's timeout, or the caller's if sooner.
     fingerprint : str
-        The same for all attempts of the same request; empty where it isn't known.
+        The same for all attempts of the same request; empty if it is unknown.
     life : lives.Life or None
-        The life of the target that it was sent to last.
+        The target incarnation of its last send.
+    sends : int
+        Number of sends to targets.
+    runs : int
+        Number of ended sends after which a target may have begun to run it.
+    sent_at : datetime.datetime or None
+        When the send in flight began; None while there is none.
+    tried : set of lives.Life
+        The target incarnations that it was sent to.
     version : int or None
-        The weight version that was to run its last send.
+        The weight version of its last send; None for plain services.
     has_begun : bool
         Whether an answer to its last send has begun.
     """
--- a/packages/decide/sesamespindle/decide/streams.py
+++ b/packages/decide/sesamespindle/decide/streams.py
@@ -1,7 +1,8 @@
-"""Putting the pieces of one streamed answer in order."""
+"""Reordering and deduplication of the pieces of one streamed answer."""
 
 import dataclasses
 
+# The most pieces that are buffered while an earlier one is missing.
 MAX_PENDING = 4096
 
 
@@ -12,11 +13,15 @@
     Attributes
     ----------
     stream : str
-        The stream that it belongs to.
+        The id of the stream that it belongs to.
     sequence : int
-        Its place in the answer, from 1, one token a piece.
+        Its position in the answer, from 1; each piece is one token.
+    text : str
+        The text of the token.
     last : bool
-        True for the end mark, whose sequence is one past the last token.
+        Whether it is the end mark, whose sequence number follows the last token's.
+    finish_reason : str
+        Why the answer ended.
     """
 
     stream: str
@@ -27,24 +32,25 @@
 
 
 class ForeignPieceError(Exception):
-    """A piece of another stream, or more pieces ahead than can be kept."""
+    """A piece belongs to another stream, or too many pieces wait for a missing one."""
 
     code = "foreign_piece"
 
 
 class Reassembly:
-    """Hands on the pieces of one stream, each once and in order.
+    """Delivers the pieces of one stream, each once and in order.
 
-    Guards against pieces that come late, twice or out of order, which the
-    caller would see as missing or doubled words. Nothing is handed on before
-    all that stand before it, and an end mark only after the whole answer.
+    Guards against pieces that arrive late, twice or out of order. The caller would
+    see missing or repeated words. A piece is delivered only after all pieces before
+    it, so the end mark comes only after the complete answer.
 
     Parameters
     ----------
     stream : str
-        The only stream whose pieces are accepted.
+        The id of the only stream whose pieces are accepted.
     delivered : int
-        The sequence number of the last piece the caller already has.
+        The sequence number of the last piece that the caller already has; 0 for
+        none.
     """
 
     def __init__(self, stream, delivered=0):
@@ -54,19 +60,34 @@
         self._pending_by_sequence = {}
 
     def accept(self, piece):
-        """Take a piece in and return those that can now be handed on.
+        """Buffer a piece and return the pieces that can now be delivered.
+
+        Parameters
+        ----------
+        piece : Piece
+            The piece; a duplicate is ignored.
+
+        Returns
+        -------
+        ready : list of Piece
+            In order; empty while an earlier piece is missing.
 
         Raises
         ------
         ForeignPieceError
-            If the piece is of another stream or too far ahead.
+            If the piece belongs to another stream, or `MAX_PENDING` pieces already
+            wait for a missing one.
         """
         if piece.stream != self.stream:
-            raise ForeignPieceError(f"piece of {piece.stream} in {self.stream}")
+            raise ForeignPieceError(
+                f"piece of stream {piece.stream} received in stream {self.stream}"
+            )
         if piece.sequence <= self.delivered or self.complete:
             return []
         if len(self._pending_by_sequence) >= MAX_PENDING:
-            raise ForeignPieceError(f"{MAX_PENDING} pieces wait in {self.stream}")
+            raise ForeignPieceError(
+                f"{MAX_PENDING} pieces wait for an earlier one in stream {self.stream}"
+            )
         self._pending_by_sequence[piece.sequence] = piece
         return self._take_ready()
 
