--- a/tests/decide/test_forwarding.py
+++ b/tests/decide/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Prompts and engines whose weights are replaced, without a network."""
+"""Forwarding of prompts while the weights of engines are superseded."""
 
 import collections
 
@@ -27,7 +27,7 @@
 
 @pytest.fixture
 def core():
-    """Give a gateway with two engines whose version 1 is replaced at `NOW`."""
+    """Return a gateway with two engines whose version 1 is superseded at `NOW`."""
     made = gateways.make_gateway()
     targets = (
         gateways.make_target("llm-3", "llm", versions={"m": 1}),
@@ -44,7 +44,7 @@
 
 
 def withdrawn(core, now):
-    """Let time pass until now; return the sends that are withdrawn at a tick."""
+    """Run a tick at `now`; return request and attempt of each withdrawn send."""
     happened = core.step(now, [events.Tick()])
     return [
         (command.request_id, command.attempt)
@@ -54,7 +54,7 @@
 
 
 def add_routes(core):
-    """Add routes to the engines whose runs may be repeated, and may not."""
+    """Add one route whose prompts run at most once, and an idempotent one."""
     known = core.forwarding.configuration
     shares = (routes.Share("llm", 1.0),)
     added = (
@@ -68,18 +68,18 @@
 
 
 def note_peer_work(core, now, tokens, held_tokens=0):
-    """Have a peer tell of what it has sent to each engine."""
+    """Record work that a peer has announced to have sent to each engine."""
     for row in core.state.targets.where("pool", "llm"):
         work = world.SentWork(now, tokens, held_tokens)
         row.peer_work_by_entry["entry-2"] = work
 
 
 def test_nothing_waits_for_weights_whose_time_ends_meanwhile(core):
-    """A prompt begins on weights that were replaced over 8 s before.
+    """Guards against a prompt that begins on weights superseded over 8 s before.
 
-    New weights are named. 6 s later, when older ones may still be used, a prompt
-    is sent to an engine that has them and 1.2 s of other prompts to read first.
-    It begins there after their time, as only the moment of sending was looked at.
+    6 s after a new version is announced, the older one may still be used. A prompt
+    is sent to an engine with the older one that has 1.2 s of prefill queued. It
+    begins there too late, because only the time of sending was checked.
     """
     late = NOW + 6 * SECOND
     note_peer_work(core, late, 60_000)
@@ -91,11 +91,11 @@
 
 
 def test_nothing_waits_for_memory_on_weights_whose_time_ends_soon(core):
-    """A prompt begins on weights that were replaced over 8 s before.
+    """Guards against a prompt that begins on weights superseded over 8 s before.
 
-    5 s after new weights are named a prompt goes to an engine with the older
-    ones and a short queue. Its memory is full, so the prompt waits until runs
-    there end, nearly 3 s, which the queue alone doesn't show.
+    5 s after a new version is announced, a prompt is sent to an engine with the
+    older one and a short queue. The engine's memory is full, so the prompt waits
+    nearly 3 s until runs there end. The length of the queue doesn't show that wait.
     """
     early, late = NOW + SECOND, NOW + 5 * SECOND
     note_peer_work(core, early, 0, 90_000)
@@ -107,10 +107,11 @@
 
 
 def test_an_engine_without_time_gives_way_to_one_that_was_tried(core):
-    """A stream breaks off for good although an engine could go on with it.
+    """Guards against a stream that ends although an engine could continue it.
 
-    The link to the only engine with the new weights broke. The one that wasn't
-    tried yet has the old weights, whose time is over, and was looked at alone.
+    The connection to the only engine with the new weights breaks. The engine that
+    was not tried yet has the old weights, which may not be used any more, and it
+    was the only one considered.
     """
     late = NOW + 7 * SECOND
     core.state.targets.get("llm-3").learn_version("m", 2)
@@ -121,10 +122,10 @@
 
 
 def test_a_busy_engine_with_the_named_weights_goes_before_a_refusal(core):
-    """All prompts are refused for a moment, though an engine could take them.
+    """Guards against refusals although a busy engine could run the prompt soon.
 
-    The one engine with the new weights turned a request away and is left alone for
-    a tenth of a second. Those with the old ones aren't, but their time is over.
+    The one engine with the new weights turned a request away, and is ejected for
+    0.1 s. The others are usable, but their old weights may not be used any more.
     """
     late = NOW + 7 * SECOND
     row = core.state.targets.get("llm-3")
@@ -134,7 +135,7 @@
 
 
 def give_other_new_weights(core, sent):
-    """Have the engine that a send didn't go to load version 2."""
+    """Record version 2 at the engine that a send did not go to."""
     for row in core.state.targets.where("pool", "llm"):
         if row.name != sent.target:
             row.learn_version("m", 2)
@@ -142,11 +143,11 @@
 
 @pytest.mark.parametrize("path", ["/chat/1", "/sum/1"])
 def test_what_has_not_begun_on_replaced_weights_goes_to_another_engine(core, path):
-    """A prompt begins on weights that were replaced over 8 s before.
+    """Guards against a prompt that begins on weights superseded over 8 s before.
 
-    It was sent in time, and waits at an engine whose memory is full. Just before
-    the end of the time it is taken back, and goes to an engine with the new
-    weights; the one that held it has done nothing wrong.
+    It is sent in time, but waits at an engine whose memory is full. Shortly before
+    the limit the send is withdrawn, and the prompt goes to an engine with the new
+    weights. The first engine is not counted as failing.
     """
     add_routes(core)
     sent = chat(core, NOW + 5 * SECOND, path)
@@ -164,11 +165,11 @@
 
 
 def test_what_may_run_once_is_not_said_not_to_have_run(core):
-    """A prompt that may run once runs twice, or after its caller was told it hadn't.
+    """Guards against a once-only prompt that runs twice, or after "not run".
 
-    It waits at an engine with replaced weights until the end of their time. When
-    it is taken back its first token may be on the way, so it goes nowhere else,
-    and the answer promises nothing.
+    It waits at an engine with superseded weights until they may not be used any
+    more. When the send is withdrawn, its first token may be on the way. So it is not
+    sent elsewhere, and the outcome is "unknown".
     """
     add_routes(core)
     sent = chat(core, NOW + 5 * SECOND, "/ask/1")
@@ -182,7 +183,10 @@
 
 
 def test_what_no_engine_can_take_over_is_not_said_not_to_have_run(core):
-    """All engines have replaced weights when a stream is taken back from one."""
+    """Guards against "not run" if a send is withdrawn and no engine can take over.
+
+    All engines have superseded weights, and the stream may have begun at its engine.
+    """
     chat(core, NOW + 5 * SECOND)
     late = NOW + 7.5 * SECOND
     assert withdrawn(core, late) == [("r1", 1)]
@@ -192,9 +196,9 @@
 
 
 def test_what_has_begun_on_replaced_weights_goes_on(core):
-    """A stream breaks off in its middle though its engine works on it.
+    """Guards against withdrawing a stream while its engine generates it.
 
-    It began in time, so it may come to its end on the weights that it has.
+    It began in time, so it may finish on its superseded weights.
     """
     chat(core, NOW + 5 * SECOND)
     core.forwarding.first_byte("r1", now=NOW + 7 * SECOND)
@@ -203,10 +207,10 @@
 
 
 def test_a_stream_that_goes_on_elsewhere_has_to_begin_there_too(core):
-    """A stream breaks off, and waits to be continued at another engine.
+    """Guards against a stream that resumes on weights superseded over 8 s before.
 
-    Its first engine had begun, so the wait at the second was not looked at, and
-    it went on there on weights that were replaced over 8 s before.
+    Its connection breaks, and it is queued at a second engine. Because the first
+    engine had begun the answer, the wait at the second one was not checked.
     """
     chat(core, NOW + SECOND)
     core.forwarding.first_byte("r1", now=NOW + 2 * SECOND)
@@ -217,10 +221,11 @@
 
 
 def test_each_version_has_its_own_time(core):
-    """Version 3 is named 5 s after version 2, while prompts wait.
+    """Guards against measuring all versions from the latest announcement.
 
-    What waits on version 2 has the whole time of its own; what waits on version 1
-    has still the time from when version 2 was named, though 3 was named since.
+    Version 3 is announced 5 s after version 2, while prompts wait. The limit for
+    version 2 counts from the announcement of 3; the limit for version 1 still counts
+    from the announcement of 2.
     """
     core.state.targets.get("llm-3").learn_version("m", 2)
     new = chat(core, NOW + SECOND, request_id="new")
@@ -235,7 +240,10 @@
 
 
 def test_what_was_sent_before_a_version_was_named_has_its_time_too():
-    """A prompt waits at an engine since before new weights were named."""
+    """Guards against skipping prompts that were sent before the announcement.
+
+    The prompt already waits at its engine when a new weight version is announced.
+    """
     core = gateways.make_gateway()
     target = gateways.make_target("llm-3", "llm", versions={"m": 1})
     core.step(NOW, [targetlist.TargetsListed((target,))])
@@ -253,9 +261,9 @@
 
 
 def test_the_log_of_a_send_tells_how_long_its_weights_are_replaced(core):
-    """A user complains of answers on old weights, and only logs are left.
+    """Guards against logs that can't explain an answer on superseded weights.
 
-    They have to tell a prompt that was sent late from one that began late.
+    They must distinguish a prompt that was sent too late from one that began late.
     """
     sent = chat(core, NOW + 5 * SECOND)
     assert "version 1, replaced by 2 5000 ms ago" in sent.reason
@@ -265,7 +273,7 @@
 
 
 def test_hosts_do_not_all_take_the_one_engine_that_was_idle():
-    """All hosts heard that one engine idles, and sent their prompts there at once."""
+    """Guards against a herd of prompts from all hosts at the one idle engine."""
     core = make_core_before_engines(40)
     for row in core.state.targets:
         busy = world.SentWork(NOW, 0 if row.name == "llm-7" else 40_000)
@@ -291,7 +299,7 @@
 
 
 def ask_once(core, number):
-    """Return where a prompt of a context of its own goes, which then ends."""
+    """Send a prompt of a new context, end it, and return its target."""
     prompt = (kvstores.Part(f"context-{number}", 3000), kvstores.Part("own", 10))
     sent = gateways.begin(
         core, "/chat/1", request_id=f"r{number}", model="m", prompt=prompt
--- a/tests/decide/test_gateway.py
+++ b/tests/decide/test_gateway.py
@@ -1,4 +1,4 @@
-"""The decision logic on the platform, without a network."""
+"""The decision logic of an entry host on the platform, without a network."""
 
 import datetime
 
@@ -25,7 +25,7 @@
 
 @pytest.fixture
 def core():
-    """Give a gateway with a configuration, two plain targets and two engines."""
+    """Return a gateway with a configuration, two plain targets and two engines."""
     made = gateways.make_gateway()
     targets = (
         gateways.make_target("desk-1"),
@@ -38,11 +38,11 @@
 
 
 def test_targets_stay_when_the_entries_are_listed_after_them(core):
-    """All hosts lose power and start together.
+    """Guards against a list of entry hosts that removes all targets.
 
-    The list of entry hosts was read after the list of targets. It held no
-    target, so every target was taken for unlisted, and for as long as the
-    processes lived each request was refused for want of one.
+    After a power loss all hosts start together, and the entry hosts are listed after
+    the targets. That list contains no target, so every target counted as unlisted,
+    and every request was refused until the process was restarted.
     """
     host = events.Host("entry-2", "entry", "dc-1", "10.0.0.2:80", "10.0.0.2:81")
     core.step(NOW, [events.HostsListed((host,))])
@@ -50,10 +50,11 @@
 
 
 def test_a_leaving_host_refuses_only_what_may_outlast_it(core):
-    """Callers with an old address come to a host that has had SIGTERM.
+    """Guards against a leaving host that cuts requests off, or refuses all of them.
 
-    Short calls are still served; a stream that may go on after the host's end
-    is refused truthfully, and its caller comes back at once, but not in step.
+    Callers with an old address connect to a host that has received SIGTERM. It still
+    serves short calls. It refuses a stream that may outlast it as "not run", with a
+    short, jittered retry-after.
     """
     core.step(NOW, [events.LeaveAsked(NOW + 7.7 * SECOND)])
     later = NOW + 4 * SECOND
@@ -67,10 +68,11 @@
 
 
 def test_a_leaving_host_takes_no_booking_that_it_may_cut_off(core):
-    """A booking comes right after SIGTERM, with more time than its host has.
+    """Guards against a booking that is cut off with an unknown outcome.
 
-    Cut off at the host's end nobody could know whether it was made. A lookup or
-    a stream is still taken: callers can't know yet, and may ask again.
+    It arrives right after SIGTERM, and its time limit ends after the host does. A
+    lookup or a stream is still accepted: callers can't know yet that the host is
+    leaving, and they may repeat such requests.
     """
     core.step(NOW, [events.LeaveAsked(NOW + 7.7 * SECOND)])
     soon = NOW + SECOND
@@ -98,10 +100,10 @@
 
 
 def test_says_not_ready_rather_than_unknown_before_a_configuration():
-    """A host that has just started is asked for a route that exists.
+    """Guards against a final refusal by a host that has just started.
 
-    It knows no configuration yet. A 404 or 401 would be final for the caller,
-    although the next host would serve it.
+    It has no configuration yet. A 404 or 401 would keep the caller from trying the
+    next host, which could serve the request.
     """
     me = events.Host("entry-1", "entry", "dc-1", "10.0.0.1:80")
     core = gateway.Gateway(me, gateway.Terms(budgets.BudgetRule()))
@@ -111,10 +113,10 @@
 
 
 def test_never_repeats_what_may_run_once(core):
-    """The target's answer to a booking is lost.
+    """Guards against a booking that runs twice, or that is reported as not run.
 
-    It isn't known whether it ran, so it goes nowhere else and the caller isn't
-    told that it hasn't run.
+    The target's answer is lost, so it is unknown whether the booking ran. It is not
+    sent elsewhere, and the outcome is "unknown".
     """
     gateways.begin(core, "/once/1")
     refused = core.forwarding.ended("r1", sends.Ending.LOST, now=NOW)
@@ -137,11 +139,10 @@
 
 
 def test_repeats_stay_within_the_shared_budget():
-    """A service fails all lookups at a busy hour.
+    """Guards against retries that double the load of an overloaded service.
 
-    If each were tried twice its targets would get twice the load just when
-    they can't carry it. One host's repeats stay below its share of the slack
-    and the ratio of its own requests.
+    A service fails all lookups under high load. The retries of one host stay below
+    its share of the slack plus the ratio of its own requests.
     """
     core = gateways.make_gateway(slack=10.0)
     core.step(NOW, [targetlist.TargetsListed((gateways.make_target("desk-1"),))])
@@ -185,10 +186,10 @@
 
 
 def test_targets_that_lapsed_with_the_platform_are_used_until_they_are_back(core):
-    """The platform was away so long that all its entries lapsed.
+    """Guards against refusals after an outage in which all target records expired.
 
-    The first list after its return is empty. The targets serve all the same,
-    and have entered themselves again two seconds later; nothing is refused.
+    The first list after the platform's return is empty, although the targets still
+    serve. They register again within 2 s; until then the known ones are used.
     """
     core.step(NOW, [targetlist.PlatformBack(), targetlist.TargetsListed(())])
     later = NOW + 2 * SECOND
@@ -228,10 +229,10 @@
 
 
 def test_cache_of_an_isolated_account_is_kept_apart():
-    """Two accounts send the same prompt, and one of them is isolated.
+    """Guards against an engine that serves one account's KV cache to an isolated one.
 
-    If both kept it under one name an engine would serve one's cache to the
-    other.
+    Two accounts send the same prompt, and one of them is isolated. With the same
+    salt they would share the cache.
     """
     accounts = {
         "key-1": routes.Account("acme"),
@@ -269,10 +270,11 @@
 
 
 def test_a_refused_version_is_not_taken_for_the_newest(core):
-    """Engines are two versions apart when a third is named.
+    """Guards against requests that an engine refuses forever for a wrong version.
 
-    An engine refused a request because it had moved on by one. It was then
-    taken to run the newest, peers heard so, and all refused it from then on.
+    A third version is announced while engines run different older ones. An engine
+    that has loaded the second refused a request for the first. It was then recorded
+    as running the third, peers received that, and it refused all their requests.
     """
     core.step(NOW, [weights.VersionNamed("m", 2), weights.VersionNamed("m", 3)])
     row = core.state.targets.get("llm-3")
@@ -291,11 +293,12 @@
 
 
 def test_hosts_of_a_lost_data_centre_keep_nobody_from_the_lease():
-    """No engine gets new weights after a data centre was lost.
+    """Guards against a lease that nobody takes after the loss of a data centre.
 
-    Only the first two hosts by rank look at the lease. Hosts of a data centre
-    that is lost stay live in the others' tables, as only their own peers judge
-    them; where the first two by rank were lost, nobody else ever looked.
+    Only the first two hosts by rank check the lease. Hosts of a lost data centre
+    stay live in the tables of the others, as only hosts of the same data centre
+    declare each other dead. If both first hosts were lost, nobody checked the lease,
+    and no engine received new weights.
     """
     names = hashing.rank("lease", [f"entry-{number}" for number in range(6)])
     me = events.Host(names[2], "entry", "dc-1", "u", "p", "", 1)
--- a/tests/support/gateways.py
+++ b/tests/support/gateways.py
@@ -1,4 +1,4 @@
-"""A gateway's decision logic with a small configuration, and requests to it."""
+"""Helpers that build a gateway with a small configuration, and requests to it."""
 
 import dataclasses
 import datetime
@@ -79,7 +79,7 @@
 
 
 def make_cold_configuration(lasts=3 * SECOND, per_second=8.8):
-    """Return a configuration whose targets of both services are cold at first."""
+    """Return a configuration in which targets of both services need a warm-up."""
     made = make_configuration()
     cold_start = routes.ColdStart(lasts, per_second)
     service_by_name = {
