--- a/tests/decide/test_calls.py
+++ b/tests/decide/test_calls.py
@@ -1,4 +1,4 @@
-"""Calls: what a leaving entry still takes."""
+"""Calls to plain services: leaving entries, lost claims, and calls that crash."""
 
 import datetime
 
@@ -49,10 +49,10 @@
 
 @pytest.mark.parametrize("seconds, taken", [(59, True), (60, True), (61, False)])
 def test_a_leaving_entry_takes_a_call_only_if_it_is_over_before_the_end(seconds, taken):
-    """Bookings come to an entry that is replaced, up to its last second.
+    """Guards against a booking that a leaving entry accepts and then cuts off.
 
-    Each was taken whatever it might last, and those that lasted longer than
-    the entry were cut off: the callers couldn't know whether they were made.
+    Callers send bookings until the entry's last second. If one outlasts the entry,
+    its caller can't know whether it was made.
     """
     made = make_core()
     made.step(START, [events.LeaveAsked(ENDS_AT)])
@@ -66,7 +66,11 @@
 
 
 def test_an_entry_that_has_left_takes_nothing_and_repeats_its_answers():
-    """Requests that come after the last one was answered, before the ports close."""
+    """Guards against a call that starts just before the entry's ports close.
+
+    It arrives after the last answer. A repeat of an earlier call still gets the
+    stored answer.
+    """
     made = make_core()
     answer = events.StoredAnswer(200, "application/json", b"{}")
     made.step(START, [arrival("booking", START, 30, key="ticket")])
@@ -91,10 +95,11 @@
     ],
 )
 def test_a_call_is_said_to_run_only_while_its_entry_may_run_it(state, code):
-    """A customer repeats a booking whose entry left and could not record its end.
+    """Guards against "still running" answers about a call that has surely ended.
 
-    The entry had said that nothing of it runs any more, yet for ten minutes
-    each repeat was told that the booking still runs, and to ask again.
+    An entry leaves and can't record how its booking ended. Other entries know that
+    it runs nothing any more, yet each repeat was answered "still running, retry"
+    for ten minutes.
     """
     made = make_core()
 
@@ -117,7 +122,7 @@
 
 
 def test_a_call_that_crashes_its_service_is_refused_at_the_fourth_time():
-    """A repeated call takes a service down each time that it is back."""
+    """Guards against a repeated call that crashes its service after each restart."""
     made = make_core()
     second = datetime.timedelta(seconds=1)
     now = START
--- a/tests/decide/test_prompts.py
+++ b/tests/decide/test_prompts.py
@@ -1,4 +1,4 @@
-"""Prompts: retries have a budget, and accounts share fairly."""
+"""Prompts: retry budgets, fair queueing, leaving entries, and crashing prompts."""
 
 import collections
 import datetime
@@ -46,10 +46,10 @@
 
 
 def test_retries_do_not_finish_off_a_slow_pool():
-    """Every engine refuses, as engines in a brown-out do.
+    """Guards against retries that multiply the load of an overloaded pool.
 
-    Callers send a thousand prompts. If each were tried at four engines, the
-    pool would get four times its load when it can bear least.
+    Every engine refuses. If each of a thousand prompts were tried at four engines,
+    the pool would get four times its load.
     """
     made = make_core([f"engine-{number}" for number in range(4)])
     sent = 0
@@ -69,7 +69,10 @@
 
 
 def test_refusal_says_when_to_come_back_and_not_all_at_once():
-    """All engines are gone, and a thousand callers are told to come back."""
+    """Guards against refused callers that all retry at the same time.
+
+    No engine is left, so all prompts are refused with a retry-after.
+    """
     made = make_core(())
     waits = set()
     for number in range(100):
@@ -108,9 +111,10 @@
 
 
 def test_an_entry_that_has_left_starts_no_prompt():
-    """A caller comes when the last answer is out and the ports are still open.
+    """Guards against a prompt that starts just before the entry's ports close.
 
-    The prompt was sent to an engine, and cut off when the ports closed.
+    It arrives after the last answer, while the ports are still open. It was sent to
+    an engine and cut off when they closed.
     """
     made = make_core(["engine-0"])
     made.step(START, [events.LeaveAsked(START + datetime.timedelta(seconds=60))])
@@ -128,7 +132,7 @@
 
 
 def crash_under(made, request_id, now, found):
-    """Have the target of a prompt crash; return the commands that follow."""
+    """Simulate a crash of a prompt's target; return the commands that follow."""
     sent = next(item for item in found if isinstance(item, commands.SendPrompt))
     lost, gone = events.Ending.LINK_LOST, events.Ending.NOT_SENT
     made.step(now, [events.AttemptEnded(request_id, sent.attempt, lost)])
@@ -146,7 +150,7 @@
 
 
 def test_a_prompt_that_crashes_engines_reaches_three():
-    """Each attempt of a prompt takes engine after engine, and it comes again."""
+    """Guards against a repeated prompt that crashes one engine after the other."""
     made = make_core([f"engine-{number}" for number in range(6)])
     now = START + datetime.timedelta(seconds=1)
     found = made.step(now, [bad_arrival("r1", now)])
@@ -164,7 +168,11 @@
 
 
 def test_an_engine_that_is_back_under_its_name_clears_no_prompt():
-    """It answers again after its crash: its earlier life would seem to go on."""
+    """Guards against a crash that seems refuted when the engine answers again.
+
+    The restarted engine has the same name, so its answer was attributed to the
+    incarnation that crashed, and the prompt that crashed it was cleared.
+    """
     made = make_core(["engine-0"])
     now = START + datetime.timedelta(seconds=1)
     found = made.step(now, [bad_arrival("r1", now)])
--- a/tests/decide/test_retries.py
+++ b/tests/decide/test_retries.py
@@ -1,4 +1,4 @@
-"""When those that were refused come back."""
+"""Backoff of calls to a platform that is unavailable."""
 
 import datetime
 import random
@@ -12,9 +12,10 @@
 
 
 def test_a_platform_that_is_away_is_asked_ever_more_rarely():
-    """The platform turns a third of the hosts away for 9 s.
+    """Guards against hosts that keep calling a platform which refuses them.
 
-    Each asked three times a second for each kind of object, 80 calls in all.
+    The platform refuses a third of the hosts for 9 s. Without backoff each host asks
+    three times a second for each kind of object, 80 calls in all.
     """
     pauses = [seconds_of(failures) for failures in range(1, 40)]
     asked, passed = 0, 0.0
@@ -25,9 +26,10 @@
 
 
 def test_the_platforms_return_is_noticed_before_hosts_are_held_to_their_times():
-    """The platform is back after a minute, and a key was revoked meanwhile.
+    """Guards against a backoff so long that hosts miss the limit for changes.
 
-    Three seconds later all hosts must know it, the call and its answer included.
+    The platform returns after a minute, and an API key was revoked meanwhile. All
+    hosts must know that within 3 s, including the call and its answer.
     """
     assert max(seconds_of(failures) for failures in range(1, 300)) <= 1.5
 
