--- a/packages/decide/sesamespindle/decide/core.py
+++ b/packages/decide/sesamespindle/decide/core.py
@@ -94,7 +94,7 @@
         self._now = now
         self.state.pauses.note_step(now)
         for event in happened:
-            self._take(event, now)
+            self._handle(event, now)
         self.membership.tell_crashes(now)
         return self.state.take_commands()
 
@@ -142,7 +142,7 @@
             return []
         return [model for model in self.state.models if prompts.may_use(row, model)]
 
-    def _take(self, event, now):
+    def _handle(self, event, now):
         match event:
             case events.PromptArrived():
                 self.prompts.arrive(event, now)
@@ -166,9 +166,9 @@
             case events.Tick():
                 self._tick(now)
             case _:
-                self._take_from_outside(event, now)
+                self._handle_external(event, now)
 
-    def _take_from_outside(self, event, now):
+    def _handle_external(self, event, now):
         """Process an event that comes from the platform, a target or a peer."""
         match event:
             case events.LoadReported():
--- a/packages/decide/sesamespindle/decide/gateway.py
+++ b/packages/decide/sesamespindle/decide/gateway.py
@@ -125,7 +125,7 @@
         self.rollout = rollout.Rollout(self.state, self.weights, self.lease)
         self._targets = targetlist.TargetList(self.state)
         self._entries = catalogue.Catalogue(self.state)
-        self._systems = (
+        self._components = (
             self._targets,
             evacuations.Evacuations(self.state),
             self.weights,
@@ -144,7 +144,7 @@
         now : datetime.datetime
             The current time by the daemon's clock.
         happened : iterable
-            Events of `events` and of the modules of the parts of a gateway.
+            Events of `events`, of this module and of the gateway's components.
 
         Returns
         -------
@@ -154,11 +154,11 @@
         Raises
         ------
         TypeError
-            If no part handles an event.
+            If no component handles an event.
         """
         self.state.pauses.note_step(now)
         for event in happened:
-            self._take(event, now)
+            self._handle(event, now)
         self.membership.tell_crashes(now)
         self._announce_when_ready(now)
         return self.state.take_commands()
@@ -190,12 +190,12 @@
 
         return directory.choose_addresses(self.state, data_centre, reachable)
 
-    def _take(self, event, now):
+    def _handle(self, event, now):
         match event:
             case events.Tick():
                 self._tick(now)
             case ConfigurationRead():
-                self._adopt(event.configuration, now)
+                self._activate(event.configuration, now)
             case events.HostsListed():
                 self._entries.list_entries(event.hosts, now)
             case gossip.GossipReceived():
@@ -212,12 +212,14 @@
             case events.HasLeft():
                 self.membership.has_left(now)
             case _:
-                if not any(system.take(event, now) for system in self._systems):
+                if not any(
+                    component.take(event, now) for component in self._components
+                ):
                     raise TypeError(
-                        f"No part of the gateway handles the event {event!r}."
+                        f"No component of the gateway handles the event {event!r}."
                     )
 
-    def _adopt(self, configuration, now):
+    def _activate(self, configuration, now):
         """Make a configuration the active one, unless its version is not higher.
 
         Guards against a stale read, or a peer that is behind, undoing a change.
@@ -247,7 +249,7 @@
         self.rollout.tick(now)
         self.forwarding.tick(now)
         if self.lease.is_held(now):
-            self.stores.free_replaced(self._salt_is_kept, now)
+            self.stores.free_replaced(self._salt_may_be_in_use, now)
 
     def _announce_when_ready(self, now):
         """Publish this host's URL to peers and callers once it can serve requests.
@@ -265,7 +267,7 @@
         self.state.emit(BecameReady())
         self.membership.spread(now)
 
-    def _salt_is_kept(self, salt):
+    def _salt_may_be_in_use(self, salt):
         """Return whether a salt may belong to weights that a target runs.
 
         A salt names the KV cache of one weight version. Only salts of versions
