--- a/packages/decide/sesamespindle/decide/forwarding.py
+++ b/packages/decide/sesamespindle/decide/forwarding.py
@@ -18,32 +18,32 @@
 
 # A request with less time left than this is not sent: no target answers that
 # quickly, so the work would be wasted.
-_SHORTEST_RUN = datetime.timedelta(milliseconds=20)
+_MIN_TIME_LEFT = datetime.timedelta(milliseconds=20)
 # A request is refused at once if its expected queueing time exceeds this share of
 # the time that it has left, since the target would then answer too late.
-_HOPELESS_SHARE = 0.8
+_MAX_WAIT_SHARE = 0.8
 # Weight of the newest sample in the moving averages of failure rate and service
 # time: about the last ten answers count.
-_NEWEST = 0.1
+_NEWEST_WEIGHT = 0.1
 # An idempotent request is retried at another target if no answer has begun after
 # this many average service times, but no sooner than the minimum. The minimum is
 # above the 99th percentile of plain services (5 times 45 ms).
-_SILENT_TIMES = 6.0
-_SILENT_AT_LEAST = datetime.timedelta(milliseconds=350)
+_FIRST_BYTE_TIMEOUT_FACTOR = 6.0
+_MIN_FIRST_BYTE_TIMEOUT = datetime.timedelta(milliseconds=350)
 # How long an engine that still has superseded weights counts as loading the new
 # ones after it turned a request away. Loading takes 0.4 s.
-_SWITCHING = datetime.timedelta(milliseconds=300)
-_BUSY_SHUN = datetime.timedelta(milliseconds=100)
+_WEIGHT_LOADING_TIME = datetime.timedelta(milliseconds=300)
+_BUSY_EJECTION_TIME = datetime.timedelta(milliseconds=100)
 # The most sends of one request, including those that targets turned away without
 # running it; after that it is refused.
 _MAX_SENDS = 4
 # Shortest retry-after for callers that a leaving host refuses. Other hosts can
 # serve them at once, so it only spreads the retries and avoids synchronised ones.
-_ELSEWHERE_AFTER = datetime.timedelta(milliseconds=50)
+_LEAVING_RETRY_AFTER = datetime.timedelta(milliseconds=50)
 # A send that needs at least this many tokens of prefill is announced to peers at
 # the next tick. It occupies an engine for 40 ms or more, and in that time peers
 # that don't know of it would send the same engine another prompt.
-_TOLD_AT_ONCE_TOKENS = 2000
+_ANNOUNCED_AT_ONCE_TOKENS = 2000
 # Number of route ranks that are distinguished within one account rank. Targets
 # have ten urgency levels, enough for three account ranks of three route ranks.
 _ROUTE_RANKS = 3
@@ -85,7 +85,7 @@
     ):
         self._state = state
         self._weights = weights
-        self._placing = promptplacing.PromptPlacing(state, weights, stores)
+        self._prompt_placement = promptplacing.PromptPlacing(state, weights, stores)
         self._budgets = budgets
         self._crashes = crashes
         self._quarantine = quarantine
@@ -134,10 +134,10 @@
         until = now + route.timeout
         if request.deadline is not None:
             until = min(until, request.deadline)
-        if self._is_left_to_others(route, until, now):
+        if self._must_leave_to_others(route, until, now):
             return self._refuse_leaving(request, until, now)
-        name = account.name if account is not None else ""
-        fingerprint = self._fingerprints.of(name, request.content)
+        account_name = account.name if account is not None else ""
+        fingerprint = self._fingerprints.of(account_name, request.content)
         refusal = self._quarantine.refusal(fingerprint, now)
         if refusal is not None:
             return commands.Refuse(
@@ -147,12 +147,12 @@
                 f"{refusal.message} Its fingerprint is {fingerprint}.",
                 refusal.retry_after,
             )
-        service = self._service(route)
+        service = self._choose_service(route)
         flight = flights.Flight(
             request, route, service, account, now, until, fingerprint
         )
         self.flight_by_request[request.request_id] = flight
-        self._budgets.earn(flight.service, self._entries())
+        self._budgets.earn(flight.service, self._count_live_entries())
         return self._send(flight, now)
 
     def ended(self, request_id, ending, now):
@@ -173,13 +173,13 @@
         """
         flight = self.flight_by_request[request_id]
         row = self._state.target_in(flight.life)
-        self._tell_crashes(flight, ending, now)
+        self._report_to_crashes(flight, ending, now)
         self._release(flight)
         self._note_ending(flight, row, ending, now)
         maybe_ran = ending in sends.MAYBE_RAN
         if maybe_ran:
             flight.runs += 1
-        if self._may_repeat(flight, ending, maybe_ran, now):
+        if self._may_retry(flight, ending, maybe_ran, now):
             return self._send(flight, now, ending)
         return self._give_up(flight, ending, now)
 
@@ -254,7 +254,7 @@
         """Record that an answer broke off and can't be continued."""
         flight = self.flight_by_request.get(request_id)
         if flight is not None:
-            self._tell_crashes(flight, sends.Ending.LOST, now)
+            self._report_to_crashes(flight, sends.Ending.LOST, now)
             self._release(flight)
 
     def report_load(self, request_id, running, waiting):
@@ -267,28 +267,28 @@
         running, waiting : int
             Requests that run, and that are queued, at the target.
         """
-        row = self._row_of(request_id)
+        row = self._target_row(request_id)
         if row is not None:
             row.reported_load = running + waiting
 
     def report_version(self, request_id, version):
         """Record the weight version that a target reported with an answer."""
-        row = self._row_of(request_id)
+        row = self._target_row(request_id)
         if row is None:
             return
         model = self.flight_by_request[request_id].request.model
         if model:
             row.learn_version(model, version)
 
-    def _row_of(self, request_id):
+    def _target_row(self, request_id):
         """Return the row of the target of a request's last send, or None."""
         flight = self.flight_by_request.get(request_id)
         return self._state.target_in(flight.life) if flight is not None else None
 
-    def _entries(self):
+    def _count_live_entries(self):
         return max(len(self._state.live_entries()), 1)
 
-    def _service(self, route):
+    def _choose_service(self, route):
         if len(route.shares) == 1:
             return route.shares[0].service
         weights = [share.weight for share in route.shares]
@@ -296,7 +296,7 @@
 
     def _send(self, flight, now, ending=None):
         """Choose a target and return the send, or the final answer if none fits."""
-        if flight.until - now < _SHORTEST_RUN:
+        if flight.until - now < _MIN_TIME_LEFT:
             return self._give_up(flight, ending, now)
         service = self.configuration.service_by_name.get(flight.service)
         rows = self._candidates(flight, service, now)
@@ -305,13 +305,13 @@
             if self._quarantine.suspicion(flight.fingerprint) > 1:
                 code = commands.Code.SUSPECTED
             return self._give_up(flight, ending, now, code)
-        if not _is_prompt(flight, service):
+        if not _is_engine_prompt(flight, service):
             row = placement.choose_plain(rows, self._state.me.data_centre, now)
             return self._start(flight, row, None, now)
-        place = self._placing.choose(flight, service.engines, rows, now)
+        place = self._prompt_placement.choose(flight, service.engines, rows, now)
         if place is None:
             return self._give_up(flight, ending, now, commands.Code.NO_TARGET)
-        if self._hopeless(flight, place.row, now):
+        if self._would_wait_too_long(flight, place.row, now):
             return self._give_up(flight, ending, now, commands.Code.OVERLOADED)
         return self._start(flight, place.row, place, now)
 
@@ -330,7 +330,7 @@
             sent = world.SentWork(now, place.read_tokens)
             row.sent_by_request[request.request_id] = sent
             row.held_by_request[request.request_id] = request.held_tokens
-            if place.read_tokens >= _TOLD_AT_ONCE_TOKENS:
+            if place.read_tokens >= _ANNOUNCED_AT_ONCE_TOKENS:
                 self._state.tells_pending = True
         account = flight.account
         return sends.Forward(
@@ -346,7 +346,7 @@
             flight.version,
             place.salt if place else None,
             place.transfers if place else kvstores.NO_TRANSFERS,
-            self._patience(flight, row),
+            self._first_byte_timeout(flight, row),
             sendlog.explain(
                 self.configuration, flight, row, place, self._replacement(flight), now
             ),
@@ -367,22 +367,22 @@
             if row.stays
         ]
         rows = self._cold_targets.narrow(rows, flight.service, now)
-        if _is_prompt(flight, service):
-            rows = self._placing.timely(flight, service.engines, rows, now)
+        if _is_engine_prompt(flight, service):
+            rows = self._prompt_placement.timely(flight, service.engines, rows, now)
         rows = placement.usable(rows, now) or rows
-        fresh = [row for row in rows if row.life not in flight.tried]
-        rows = fresh or rows
+        untried = [row for row in rows if row.life not in flight.tried]
+        rows = untried or rows
         if service is not None and service.max_connections:
-            most = max(1, service.max_connections // self._entries())
-            rows = [row for row in rows if row.running_here < most]
+            limit = max(1, service.max_connections // self._count_live_entries())
+            rows = [row for row in rows if row.running_here < limit]
         return self._quarantine.narrow(flight.fingerprint, rows, now)
 
-    def _hopeless(self, flight, row, now):
-        left = flight.until - now
+    def _would_wait_too_long(self, flight, row, now):
+        time_left = flight.until - now
         wait = datetime.timedelta(seconds=placement.queue_seconds(row, now))
-        return wait > left * _HOPELESS_SHARE
+        return wait > time_left * _MAX_WAIT_SHARE
 
-    def _patience(self, flight, row):
+    def _first_byte_timeout(self, flight, row):
         """Return the timeout for the first byte of a send, or None for no timeout.
 
         Only idempotent requests with attempts left have one, as only they may be
@@ -393,10 +393,10 @@
             return None
         if flight.runs + 1 >= route.max_attempts:
             return None
-        usual = row.service_time or datetime.timedelta(0)
-        return max(_SILENT_AT_LEAST, usual * _SILENT_TIMES)
+        average = row.service_time or datetime.timedelta(0)
+        return max(_MIN_FIRST_BYTE_TIMEOUT, average * _FIRST_BYTE_TIMEOUT_FACTOR)
 
-    def _may_repeat(self, flight, ending, maybe_ran, now):
+    def _may_retry(self, flight, ending, maybe_ran, now):
         """Return whether a request may be sent to a target once more.
 
         Guards against a booking that runs twice. Once a byte may have reached a
@@ -415,14 +415,14 @@
             return False
         if maybe_ran and flight.runs >= flight.route.max_attempts:
             return False
-        if flight.sends >= _MAX_SENDS or flight.until - now < _SHORTEST_RUN:
+        if flight.sends >= _MAX_SENDS or flight.until - now < _MIN_TIME_LEFT:
             return False
         if ending in sends.NOT_ARRIVED:
             # Nothing reached a target, so it doesn't count against the retry budget.
             return True
-        return self._budgets.spend(flight.service, self._entries())
+        return self._budgets.spend(flight.service, self._count_live_entries())
 
-    def _tell_crashes(self, flight, ending, now):
+    def _report_to_crashes(self, flight, ending, now):
         """Report what a send's end shows about whether its target has crashed."""
         if flight.sent_at is None:
             return
@@ -452,9 +452,9 @@
                 row.refused_at = now
                 catalogue.note_failure(self._state, row, now)
             case sends.Ending.TURNED_AWAY:
-                row.shunned_until = now + _BUSY_SHUN
+                row.shunned_until = now + _BUSY_EJECTION_TIME
                 if self._weights.is_behind(row, flight.request.model):
-                    row.switching_until = now + _SWITCHING
+                    row.switching_until = now + _WEIGHT_LOADING_TIME
             case sends.Ending.WRONG_TARGET:
                 self._state.refute_target(row, now)
             case sends.Ending.WRONG_VERSION:
@@ -493,7 +493,7 @@
 
     def _describe_targets(self, flight, now):
         rows = list(self._state.targets.where("pool", flight.service))
-        return sendlog.describe_targets(rows, self._entries(), now)
+        return sendlog.describe_targets(rows, self._count_live_entries(), now)
 
     def timed_out(self, request_id, now, sent):
         """Return the final answer of a request whose time limit has passed.
@@ -527,7 +527,7 @@
             commands.Outcome.UNKNOWN,
         )
 
-    def _is_left_to_others(self, route, until, now):
+    def _must_leave_to_others(self, route, until, now):
         """Return whether this host is leaving and must refuse the request.
 
         A call that runs at most once is refused if it may outlast the host. Other
@@ -541,15 +541,15 @@
         return not departure.takes(until, now)
 
     def _refuse_leaving(self, request, until, now):
-        left = (self._state.departure.ends_at - now).total_seconds()
-        may_last = (until - now).total_seconds()
+        seconds_left = (self._state.departure.ends_at - now).total_seconds()
+        may_take = (until - now).total_seconds()
         return commands.Refuse(
             request.request_id,
             commands.Code.SHUTTING_DOWN,
             commands.Outcome.NOT_RUN,
-            f"This host shuts down in {left:.1f} s, and the request may take "
-            f"{may_last:.1f} s; connect to another host.",
-            retries.spread(_ELSEWHERE_AFTER, self._state.random),
+            f"This host shuts down in {seconds_left:.1f} s, and the request may take "
+            f"{may_take:.1f} s; connect to another host.",
+            retries.spread(_LEAVING_RETRY_AFTER, self._state.random),
         )
 
     def _refuse(self, request, code, message, outcome=commands.Outcome.NOT_RUN):
@@ -561,7 +561,7 @@
         return commands.Refuse(request.request_id, code, outcome, message, retry_after)
 
 
-def _is_prompt(flight, service):
+def _is_engine_prompt(flight, service):
     """Return whether a request is a prompt, and its service has engines."""
     return service is not None and bool(service.engines and flight.request.model)
 
@@ -573,14 +573,14 @@
     of accounts of equal rank, so that their short prompts don't wait behind long
     ones.
     """
-    first = second = flight.route.rank
+    account_rank = route_rank = flight.route.rank
     if flight.account is not None and flight.account.rank is not None:
-        first = flight.account.rank
-    return first * _ROUTE_RANKS + min(second, _ROUTE_RANKS - 1)
+        account_rank = flight.account.rank
+    return account_rank * _ROUTE_RANKS + min(route_rank, _ROUTE_RANKS - 1)
 
 
 def _note_result(row, failed):
-    row.failure_rate += _NEWEST * ((1.0 if failed else 0.0) - row.failure_rate)
+    row.failure_rate += _NEWEST_WEIGHT * ((1.0 if failed else 0.0) - row.failure_rate)
     if not failed:
         catalogue.note_success(row)
 
@@ -589,4 +589,4 @@
     if row.service_time is None:
         row.service_time = duration
     else:
-        row.service_time += (duration - row.service_time) * _NEWEST
+        row.service_time += (duration - row.service_time) * _NEWEST_WEIGHT
