--- a/packages/decide/sesamespindle/decide/calls.py
+++ b/packages/decide/sesamespindle/decide/calls.py
@@ -14,11 +14,11 @@
 )
 
 # Keys are kept for longer than a claim of this daemon's own is trusted to be unused
-# (see `_is_unused`): the key shows whether a call was made under such a claim, so
+# (see `_is_own_unused`): the key shows whether a call was made under such a claim, so
 # it must still be there when the claim is checked.
 _CLAIM_TRUSTED_FOR = datetime.timedelta(hours=1)
-_KEY_KEPT_FOR = 2 * _CLAIM_TRUSTED_FOR
-_MAX_STARTS = 4
+_KEY_RETENTION = 2 * _CLAIM_TRUSTED_FOR
+_MAX_TARGETS_TRIED = 4
 
 
 @dataclasses.dataclass(slots=True)
@@ -138,7 +138,7 @@
                 wait,
             )
             return
-        row = _row(event, now)
+        row = _new_row(event, now)
         row.request_fingerprint = fingerprint
         self.rows.add(row)
         if row.key:
@@ -168,10 +168,10 @@
         now : datetime.datetime
             The current time.
         """
-        self._add_key(_row(event, now), now)
-        known = self.keys.get(_key_id(event.account, event.key))
-        known.state = events.ClaimState.DONE
-        known.answer = answer
+        self._add_key(_new_row(event, now), now)
+        key_row = self.keys.get(_key_id(event.account, event.key))
+        key_row.state = events.ClaimState.DONE
+        key_row.answer = answer
 
     def knows_key(self, account, key):
         """Return whether this daemon has a record of an account's key."""
@@ -183,9 +183,9 @@
             request_id = self._admission.take(now)
             if request_id is None:
                 return
-            self._open(self.rows.get(request_id), now)
+            self._start(self.rows.get(request_id), now)
 
-    def _open(self, row, now):
+    def _start(self, row, now):
         """Start a call that has a slot; a key that the caller chose needs a claim.
 
         The claim is taken first. A ticket's key needs none, since only the entry
@@ -220,23 +220,25 @@
 
         A key whose call did not run counts as new.
         """
-        known = self.keys.get(_key_id(event.account, event.key))
-        if known is None:
+        key_row = self.keys.get(_key_id(event.account, event.key))
+        if key_row is None:
             return False
-        if known.fingerprint != event.fingerprint:
+        if key_row.fingerprint != event.fingerprint:
             refusals.refuse_unrun(
                 self._state,
                 event.request_id,
                 commands.Code.KEY_REUSED,
                 "The idempotency key was already used for a different request.",
             )
-        elif known.state is events.ClaimState.NOT_RUN:
+        elif key_row.state is events.ClaimState.NOT_RUN:
             return False
         else:
-            self._answer_claim(event.request_id, known.state, known.answer, True)
+            self._answer_from_claim(
+                event.request_id, key_row.state, key_row.answer, True
+            )
         return True
 
-    def _answer_claim(self, request_id, claim_state, answer, holder_lives):
+    def _answer_from_claim(self, request_id, claim_state, answer, holder_may_run):
         """Answer a repeated call with what is known of the first one.
 
         Parameters
@@ -247,7 +249,7 @@
             How far the first call got.
         answer : events.StoredAnswer or None
             Its answer, if it is done.
-        holder_lives : bool
+        holder_may_run : bool
             Whether the entry that made the first call may still run it.
         """
         match claim_state:
@@ -255,7 +257,7 @@
                 self._state.emit(
                     commands.ReplyStored(request_id, answer, replayed=True)
                 )
-            case events.ClaimState.RUNNING if holder_lives:
+            case events.ClaimState.RUNNING if holder_may_run:
                 refusals.refuse_unknown(
                     self._state,
                     request_id,
@@ -277,20 +279,20 @@
                 row.request_id,
                 row.account,
                 row.key,
-                self._claim(row, events.ClaimState.RUNNING),
+                self._make_claim(row, events.ClaimState.RUNNING),
                 replaces,
             )
         )
 
-    def _claim(self, row, claim_state, answer=None):
-        known = self.keys.get(_key_id(row.account, row.key))
+    def _make_claim(self, row, claim_state, answer=None):
+        key_row = self.keys.get(_key_id(row.account, row.key))
         return events.Claim(
             self._state.me.name,
             self._state.me.incarnation,
-            known.nonce,
+            key_row.nonce,
             row.fingerprint,
             claim_state,
-            known.taken_at,
+            key_row.taken_at,
             answer,
         )
 
@@ -313,22 +315,24 @@
             return
         claim = event.claim
         if claim.fingerprint != row.fingerprint:
-            self._forget(row, now)
+            self._remove(row, now)
             refusals.refuse_unrun(
                 self._state,
                 row.request_id,
                 commands.Code.KEY_REUSED,
                 "The idempotency key was already used for a different request.",
             )
-        elif claim.state is events.ClaimState.NOT_RUN or self._is_unused(claim, now):
+        elif claim.state is events.ClaimState.NOT_RUN or self._is_own_unused(
+            claim, now
+        ):
             self._take_claim(row, replaces=event.version)
         else:
-            self._forget(row, now)
-            self._answer_claim(
-                row.request_id, claim.state, claim.answer, self._holder_lives(claim)
+            self._remove(row, now)
+            self._answer_from_claim(
+                row.request_id, claim.state, claim.answer, self._holder_may_run(claim)
             )
 
-    def _is_unused(self, claim, now):
+    def _is_own_unused(self, claim, now):
         """Return whether a claim is this incarnation's own and no call was sent for it.
 
         If the platform's answer to the creation of a claim comes too late, the
@@ -345,7 +349,7 @@
             events.ClaimState.RUNNING,
         )
 
-    def _holder_lives(self, claim):
+    def _holder_may_run(self, claim):
         """Return whether the entry that holds a claim may still run its call.
 
         Guards against callers that keep retrying because they are told "still
@@ -369,11 +373,11 @@
         row = self.rows.get(event.request_id)
         if row is None:
             return
-        claim = self._claim(row, events.ClaimState.NOT_RUN)
+        claim = self._make_claim(row, events.ClaimState.NOT_RUN)
         self._state.emit(
             commands.SettleClaim(row.request_id, row.account, row.key, claim, 0)
         )
-        self._forget(row, now)
+        self._remove(row, now)
         refusals.refuse_unrun(
             self._state,
             row.request_id,
@@ -399,7 +403,7 @@
             return self._quarantine.narrow(row.request_fingerprint, targets, now)
 
         target = routing.choose_service(self._state, row.pool, now, row.tried, narrow)
-        if target is None or len(row.tried) >= _MAX_STARTS:
+        if target is None or len(row.tried) >= _MAX_TARGETS_TRIED:
             self._give_up_unrun(
                 row,
                 commands.Code.NO_TARGET,
@@ -427,7 +431,7 @@
         if row is None or row.attempt != event.attempt:
             return
         target = self._state.targets.get(row.target)
-        self._leave_target(row)
+        self._release_target(row)
         if target is not None:
             catalogue.note_failure(self._state, target, now)
         if event.ending is events.Ending.NOT_SENT:
@@ -461,27 +465,27 @@
             commands.ReplyStored(row.request_id, event.answer, replayed=False)
         )
         self._settle(row, events.ClaimState.DONE, event.answer)
-        self._forget(row, now, keep_key=True)
+        self._remove(row, now, keep_key=True)
 
     def tick(self, now):
         """Refuse calls that were queued too long, and drop expired keys."""
-        patience = self._state.policy.queue_patience
+        timeout = self._state.policy.queue_patience
         for row in [row for row in self.rows if row.started_at is None]:
-            if now - row.arrived_at > patience or now >= row.deadline:
+            if now - row.arrived_at > timeout or now >= row.deadline:
                 self._give_up_unrun(
                     row,
                     commands.Code.CONCURRENCY,
                     "No slot of the account's limit became free in time.",
                     now,
                 )
-        self._drop_old_keys(now)
+        self._drop_expired_keys(now)
         self.drain(now)
 
-    def _drop_old_keys(self, now):
+    def _drop_expired_keys(self, now):
         """Drop expired keys; the table is in order of arrival, oldest first."""
         while len(self.keys):
             oldest = next(iter(self.keys))
-            if now - oldest.taken_at < _KEY_KEPT_FOR:
+            if now - oldest.taken_at < _KEY_RETENTION:
                 return
             self.keys.remove(oldest.account_and_key)
 
@@ -490,14 +494,14 @@
             self._give_up_unknown(row, now)
             return
         self._settle(row, events.ClaimState.NOT_RUN)
-        self._forget(row, now)
+        self._remove(row, now)
         refusals.refuse_unrun(
             self._state, row.request_id, code, message, self._state.policy.retry_after
         )
 
     def _give_up_unknown(self, row, now):
         self._settle(row, events.ClaimState.UNKNOWN)
-        self._forget(row, now, keep_key=True)
+        self._remove(row, now, keep_key=True)
         refusals.refuse_unknown(
             self._state,
             row.request_id,
@@ -509,23 +513,23 @@
         """Record how a call ended, here and, if it has a claim, on the platform."""
         if not row.key:
             return
-        known = self.keys.get(_key_id(row.account, row.key))
-        known.state = claim_state
-        known.answer = answer
+        key_row = self.keys.get(_key_id(row.account, row.key))
+        key_row.state = claim_state
+        key_row.answer = answer
         if row.claim_version:
             self._state.emit(
                 commands.SettleClaim(
                     row.request_id,
                     row.account,
                     row.key,
-                    self._claim(row, claim_state, answer),
+                    self._make_claim(row, claim_state, answer),
                     row.claim_version,
                 )
             )
 
-    def _forget(self, row, now, keep_key=False):
+    def _remove(self, row, now, keep_key=False):
         self.rows.remove(row.request_id)
-        self._leave_target(row)
+        self._release_target(row)
         if row.key and not keep_key:
             self.keys.remove(_key_id(row.account, row.key))
         self._admission.remove(row.account, row.request_id)
@@ -533,14 +537,14 @@
             self._admission.end(row.account, now - row.started_at)
         self.drain(now)
 
-    def _leave_target(self, row):
+    def _release_target(self, row):
         target = self._state.targets.get(row.target)
         if target is not None:
             target.running_here = max(0, target.running_here - 1)
         row.target = ""
 
 
-def _row(event, now):
+def _new_row(event, now):
     return CallRow(
         event.request_id,
         event.account,
