--- a/packages/decide/sesamespindle/decide/fairqueue.py
+++ b/packages/decide/sesamespindle/decide/fairqueue.py
@@ -20,8 +20,8 @@
         """Append a request to its account's queue."""
         if not self._ids_by_account[account]:
             # An account gets no credit for the time in which it was idle.
-            past = self._virtual_time_by_account.get(account, 0.0)
-            self._virtual_time_by_account[account] = max(past, self._virtual_now)
+            last = self._virtual_time_by_account.get(account, 0.0)
+            self._virtual_time_by_account[account] = max(last, self._virtual_now)
         self._ids_by_account[account].append(request_id)
 
     def take(self, may_run, weight):
@@ -38,10 +38,10 @@
         -------
         request_id : str or None
         """
-        ready = [name for name in self._ids_by_account if may_run(name)]
-        if not ready:
+        eligible = [name for name in self._ids_by_account if may_run(name)]
+        if not eligible:
             return None
-        account = min(ready, key=self._virtual_time_by_account.__getitem__)
+        account = min(eligible, key=self._virtual_time_by_account.__getitem__)
         self._virtual_now = self._virtual_time_by_account[account]
         self._virtual_time_by_account[account] += 1.0 / weight(account)
         request_id = self._ids_by_account[account].popleft()
--- a/packages/decide/sesamespindle/decide/prompts.py
+++ b/packages/decide/sesamespindle/decide/prompts.py
@@ -17,7 +17,7 @@
     world,
 )
 
-_NO_PAUSE = datetime.timedelta(0)
+_NO_DELAY = datetime.timedelta(0)
 
 
 @dataclasses.dataclass(slots=True)
@@ -146,7 +146,7 @@
                 wait,
             )
             return
-        self.rows.add(_row(event, model, fingerprint, now))
+        self.rows.add(_new_row(event, model, fingerprint, now))
         self._admission.push(event.account, event.request_id, now)
         self.drain(now)
 
@@ -163,7 +163,7 @@
         for row in [row for row in self.rows if row.started_at is None]:
             waited_too_long = now - row.arrived_at > self._state.policy.queue_patience
             if waited_too_long or now >= row.deadline:
-                self._drop(row, now)
+                self._remove(row, now)
                 refusals.refuse_unrun(
                     self._state,
                     row.request_id,
@@ -205,16 +205,16 @@
         if row is None or row.attempt != event.attempt:
             return
         row.delivered = event.delivered
-        self._tell_crashes(row, event.ending, now)
+        self._report_to_crashes(row, event.ending, now)
         target = self._state.targets.get(row.target)
         match event.ending:
             case events.Ending.COMPLETED:
                 if target is not None:
                     catalogue.note_success(target)
-                self._drop(row, now)
+                self._remove(row, now)
                 self.drain(now)
             case events.Ending.NOT_SENT:
-                self._fail(target, now)
+                self._note_failure(target, now)
                 self._start_elsewhere(row, now)
             case events.Ending.REFUSED:
                 self._start_elsewhere(row, now, event.retry_after)
@@ -223,7 +223,7 @@
                 self._resume(row, target, now)
             case events.Ending.STREAM_GONE:
                 row.may_have_run = True
-                self._fail(target, now)
+                self._note_failure(target, now)
                 self._start_elsewhere(row, now)
             case events.Ending.TIMED_OUT:
                 row.may_have_run = True
@@ -231,7 +231,7 @@
                     row, commands.Code.DEADLINE, "The deadline has passed.", now
                 )
 
-    def _tell_crashes(self, row, ending, now):
+    def _report_to_crashes(self, row, ending, now):
         """Report what an attempt's end shows about whether its target has crashed."""
         if row.sent_at is None:
             return
@@ -251,14 +251,14 @@
         if row is not None:
             if row.sent_at is not None:
                 self._crashes.left(row.fingerprint, row.life, now)
-            self._drop(row, now)
+            self._remove(row, now)
             self.drain(now)
 
     def _start(self, row, now):
         state = self._state
         account = state.accounts.get(row.account)
         if account is None:
-            self._drop(row, now)
+            self._remove(row, now)
             refusals.refuse_unrun(
                 self._state,
                 row.request_id,
@@ -278,13 +278,13 @@
         """Resume a stream that another entry began."""
         target = self._state.targets.get(row.resume_target)
         if target is None or not target.url:
-            self._give_up_taken_over(row, now)
+            self._refuse_taken_over(row, now)
             return
         row.target = target.name
         target.running_here += 1
         self._resume(row, target, now)
 
-    def _give_up_taken_over(self, row, now):
+    def _refuse_taken_over(self, row, now):
         """Refuse to continue an answer that another entry began.
 
         Guards against an answer of two different generations: the text delivered so
@@ -314,8 +314,8 @@
                 retry_after,
             )
             return
-        patience = state.policy.first_token_patience.total_seconds()
-        if place.expected_seconds > patience:
+        timeout = state.policy.first_token_patience.total_seconds()
+        if place.expected_seconds > timeout:
             self._give_up(
                 row,
                 commands.Code.OVERLOADED,
@@ -324,11 +324,11 @@
                 datetime.timedelta(seconds=place.expected_seconds / 2),
             )
             return
-        self._place(row, place, now)
+        self._send_to(row, place, now)
 
-    def _place(self, row, place, now):
+    def _send_to(self, row, place, now):
         target = place.target
-        self._leave_target(row)
+        self._release_target(row)
         row.attempt += 1
         row.starts += 1
         row.resumes = 0
@@ -340,7 +340,7 @@
             now, row.tokens - place.reused_tokens
         )
         account = self._state.accounts.get(row.account)
-        version = self._version_at(row, target)
+        version = self._required_version(row, target)
         salt = hashing.salt(row.account, row.model, version)
         self._state.emit(
             commands.SendPrompt(
@@ -351,11 +351,11 @@
                 account.contract.priority if account else 1,
                 salt.hex(),
                 version,
-                self._store_url(target, now),
+                self._nearest_store_url(target, now),
             )
         )
 
-    def _version_at(self, row, target):
+    def _required_version(self, row, target):
         """Return the weight version that a prompt requires of a target.
 
         Guards against KV cache of one weight version being used with another while
@@ -367,7 +367,7 @@
         model = self._state.models.get(row.model)
         return row.version or target.version or (model.version if model else "")
 
-    def _store_url(self, target, now):
+    def _nearest_store_url(self, target, now):
         """Return the URL of the store host nearest to a target, or an empty string.
 
         Only usable stores of the target's pool count.
@@ -389,19 +389,19 @@
         """Reconnect to the same stream, so that no token is generated twice."""
         policy = self._state.policy
         if target is None or row.resumes >= policy.resume_attempts:
-            self._fail(target, now)
+            self._note_failure(target, now)
             self._start_elsewhere(row, now)
             return
         row.resumes += 1
         row.attempt += 1
-        pause = retries.backoff(row.resumes + 1, self._state.random)
+        delay = retries.backoff(row.resumes + 1, self._state.random)
         self._state.emit(
             commands.ResumeStream(
                 row.request_id,
                 row.attempt,
                 target.name,
                 target.url,
-                pause if row.resumes > 1 else _NO_PAUSE,
+                delay if row.resumes > 1 else _NO_DELAY,
             )
         )
 
@@ -410,7 +410,7 @@
         if now >= row.deadline:
             self._give_up(row, commands.Code.DEADLINE, "The deadline has passed.", now)
         elif row.resume_target:
-            self._give_up_taken_over(row, now)
+            self._refuse_taken_over(row, now)
         elif row.may_have_run and self._quarantine.suspicion(row.fingerprint) > 1:
             self._give_up(
                 row,
@@ -440,22 +440,22 @@
     def _give_up(self, row, code, message, now, retry_after=None):
         """Refuse a prompt; the outcome is "not run" only if that is certain."""
         refuse = refusals.refuse_unknown if row.may_have_run else refusals.refuse_unrun
-        self._drop(row, now)
+        self._remove(row, now)
         wait = retry_after or self._state.policy.retry_after
         refuse(self._state, row.request_id, code, message, wait)
 
-    def _fail(self, target, now):
+    def _note_failure(self, target, now):
         if target is not None:
             catalogue.note_failure(self._state, target, now)
 
-    def _drop(self, row, now):
+    def _remove(self, row, now):
         self.rows.remove(row.request_id)
         self._admission.remove(row.account, row.request_id)
-        self._leave_target(row)
+        self._release_target(row)
         if row.started_at is not None:
             self._admission.end(row.account, now - row.started_at)
 
-    def _leave_target(self, row):
+    def _release_target(self, row):
         target = self._state.targets.get(row.target)
         if target is not None:
             target.running_here = max(0, target.running_here - 1)
@@ -469,7 +469,7 @@
     return not pools or model.pool in pools
 
 
-def _row(event, model, fingerprint, now):
+def _new_row(event, model, fingerprint, now):
     salt = hashing.salt(event.account, model.name, model.version)
     ids = hashing.chain(salt, event.text)
     hint = event.cache_hint or (ids[0] if ids else event.request_id)
--- a/packages/decide/sesamespindle/decide/retries.py
+++ b/packages/decide/sesamespindle/decide/retries.py
@@ -5,14 +5,14 @@
 # Defaults of `RetryBudget`.
 BUDGET_RATIO = 0.1
 BUDGET_BURST = 10.0
-_SPREAD = 0.5
+_JITTER = 0.5
 # The pause after a failed call to the platform. It is short enough for several
 # calls within the time that a change may take to arrive, and long enough that
-# hundreds of hosts stay below the platform's rate limits. After `_QUICK_TRIES`
+# hundreds of hosts stay below the platform's rate limits. After `_QUICK_RETRIES`
 # failures it doubles up to 1 s, or 1.5 s with jitter. So hosts notice the
 # platform's return within half of the 3 s after which their time limits apply again.
 _OUTAGE_PAUSE = datetime.timedelta(milliseconds=250)
-_QUICK_TRIES = 4
+_QUICK_RETRIES = 4
 _MAX_DOUBLINGS = 2
 
 
@@ -63,7 +63,7 @@
     random : random.Random
         The seeded source.
     """
-    return base * (1.0 + _SPREAD * random.random())
+    return base * (1.0 + _JITTER * random.random())
 
 
 def backoff(attempt, random, first=datetime.timedelta(milliseconds=20)):
@@ -97,5 +97,5 @@
     random : random.Random
         The seeded source.
     """
-    doublings = min(max(0, failures - _QUICK_TRIES), _MAX_DOUBLINGS)
+    doublings = min(max(0, failures - _QUICK_RETRIES), _MAX_DOUBLINGS)
     return spread(_OUTAGE_PAUSE * 2**doublings, random)
