--- a/tests/decide/test_forwarding.py
+++ b/tests/decide/test_forwarding.py
@@ -37,13 +37,13 @@
     return made
 
 
-def chat(core, now, path="/chat/1", request_id="r1"):
+def send_prompt(core, now, path="/chat/1", request_id="r1"):
     return gateways.begin(
         core, path, now, request_id=request_id, model="m", prompt=PROMPT
     )
 
 
-def withdrawn(core, now):
+def withdrawn_at(core, now):
     """Run a tick at `now`; return request and attempt of each withdrawn send."""
     happened = core.step(now, [events.Tick()])
     return [
@@ -67,14 +67,14 @@
     core.step(NOW, [gateway.ConfigurationRead(changed)])
 
 
-def note_peer_work(core, now, tokens, held_tokens=0):
+def record_peer_work(core, now, tokens, held_tokens=0):
     """Record work that a peer has announced to have sent to each engine."""
     for row in core.state.targets.where("pool", "llm"):
         work = world.SentWork(now, tokens, held_tokens)
         row.peer_work_by_entry["entry-2"] = work
 
 
-def test_nothing_waits_for_weights_whose_time_ends_meanwhile(core):
+def test_no_prompt_queues_for_superseded_weights_whose_time_ends_first(core):
     """Guards against a prompt that begins on weights superseded over 8 s before.
 
     6 s after a new version is announced, the older one may still be used. A prompt
@@ -82,15 +82,15 @@
     begins there too late, because only the time of sending was checked.
     """
     late = NOW + 6 * SECOND
-    note_peer_work(core, late, 60_000)
-    refused = chat(core, late)
+    record_peer_work(core, late, 60_000)
+    refused = send_prompt(core, late)
     assert isinstance(refused, commands.Refuse)
     assert refused.outcome is commands.Outcome.NOT_RUN
-    note_peer_work(core, late, 0)
-    assert isinstance(chat(core, late, request_id="r2"), sends.Forward)
+    record_peer_work(core, late, 0)
+    assert isinstance(send_prompt(core, late, request_id="r2"), sends.Forward)
 
 
-def test_nothing_waits_for_memory_on_weights_whose_time_ends_soon(core):
+def test_no_prompt_waits_for_memory_on_weights_whose_time_ends_first(core):
     """Guards against a prompt that begins on weights superseded over 8 s before.
 
     5 s after a new version is announced, a prompt is sent to an engine with the
@@ -98,15 +98,15 @@
     nearly 3 s until runs there end. The length of the queue doesn't show that wait.
     """
     early, late = NOW + SECOND, NOW + 5 * SECOND
-    note_peer_work(core, early, 0, 90_000)
-    assert isinstance(chat(core, early), sends.Forward)
-    note_peer_work(core, late, 0, 90_000)
-    refused = chat(core, late, request_id="r2")
+    record_peer_work(core, early, 0, 90_000)
+    assert isinstance(send_prompt(core, early), sends.Forward)
+    record_peer_work(core, late, 0, 90_000)
+    refused = send_prompt(core, late, request_id="r2")
     assert isinstance(refused, commands.Refuse)
     assert refused.outcome is commands.Outcome.NOT_RUN
 
 
-def test_an_engine_without_time_gives_way_to_one_that_was_tried(core):
+def test_a_tried_engine_with_new_weights_beats_an_untried_superseded_one(core):
     """Guards against a stream that ends although an engine could continue it.
 
     The connection to the only engine with the new weights breaks. The engine that
@@ -115,13 +115,13 @@
     """
     late = NOW + 7 * SECOND
     core.state.targets.get("llm-3").learn_version("m", 2)
-    assert chat(core, late).target == "llm-3"
+    assert send_prompt(core, late).target == "llm-3"
     again = core.forwarding.ended("r1", sends.Ending.LOST, now=late)
     assert isinstance(again, sends.Forward)
     assert again.target == "llm-3"
 
 
-def test_a_busy_engine_with_the_named_weights_goes_before_a_refusal(core):
+def test_an_ejected_engine_with_new_weights_is_used_before_a_refusal(core):
     """Guards against refusals although a busy engine could run the prompt soon.
 
     The one engine with the new weights turned a request away, and is ejected for
@@ -131,10 +131,10 @@
     row = core.state.targets.get("llm-3")
     row.learn_version("m", 2)
     row.shunned_until = late + SECOND / 10
-    assert chat(core, late).target == "llm-3"
+    assert send_prompt(core, late).target == "llm-3"
 
 
-def give_other_new_weights(core, sent):
+def load_new_weights_elsewhere(core, sent):
     """Record version 2 at the engine that a send did not go to."""
     for row in core.state.targets.where("pool", "llm"):
         if row.name != sent.target:
@@ -142,7 +142,7 @@
 
 
 @pytest.mark.parametrize("path", ["/chat/1", "/sum/1"])
-def test_what_has_not_begun_on_replaced_weights_goes_to_another_engine(core, path):
+def test_a_prompt_not_begun_on_superseded_weights_moves_to_another_engine(core, path):
     """Guards against a prompt that begins on weights superseded over 8 s before.
 
     It is sent in time, but waits at an engine whose memory is full. Shortly before
@@ -150,11 +150,11 @@
     weights. The first engine is not counted as failing.
     """
     add_routes(core)
-    sent = chat(core, NOW + 5 * SECOND, path)
-    give_other_new_weights(core, sent)
-    assert withdrawn(core, NOW + 7 * SECOND) == []
+    sent = send_prompt(core, NOW + 5 * SECOND, path)
+    load_new_weights_elsewhere(core, sent)
+    assert withdrawn_at(core, NOW + 7 * SECOND) == []
     late = NOW + 7.5 * SECOND
-    assert withdrawn(core, late) == [("r1", 1)]
+    assert withdrawn_at(core, late) == [("r1", 1)]
     again = core.forwarding.ended("r1", sends.Ending.WITHDRAWN, now=late)
     assert isinstance(again, sends.Forward)
     assert again.target != sent.target
@@ -164,7 +164,7 @@
     assert row.usable(late)
 
 
-def test_what_may_run_once_is_not_said_not_to_have_run(core):
+def test_a_withdrawn_once_only_prompt_is_not_said_to_be_not_run(core):
     """Guards against a once-only prompt that runs twice, or after "not run".
 
     It waits at an engine with superseded weights until they may not be used any
@@ -172,55 +172,55 @@
     sent elsewhere, and the outcome is "unknown".
     """
     add_routes(core)
-    sent = chat(core, NOW + 5 * SECOND, "/ask/1")
-    give_other_new_weights(core, sent)
+    sent = send_prompt(core, NOW + 5 * SECOND, "/ask/1")
+    load_new_weights_elsewhere(core, sent)
     late = NOW + 7.5 * SECOND
-    assert withdrawn(core, late) == [("r1", 1)]
+    assert withdrawn_at(core, late) == [("r1", 1)]
     refused = core.forwarding.ended("r1", sends.Ending.WITHDRAWN, now=late)
     assert isinstance(refused, commands.Refuse)
     assert refused.code is commands.Code.TARGET_FAILED
     assert refused.outcome is commands.Outcome.UNKNOWN
 
 
-def test_what_no_engine_can_take_over_is_not_said_not_to_have_run(core):
+def test_a_withdrawn_stream_without_another_engine_is_not_said_to_be_not_run(core):
     """Guards against "not run" if a send is withdrawn and no engine can take over.
 
     All engines have superseded weights, and the stream may have begun at its engine.
     """
-    chat(core, NOW + 5 * SECOND)
+    send_prompt(core, NOW + 5 * SECOND)
     late = NOW + 7.5 * SECOND
-    assert withdrawn(core, late) == [("r1", 1)]
+    assert withdrawn_at(core, late) == [("r1", 1)]
     refused = core.forwarding.ended("r1", sends.Ending.WITHDRAWN, now=late)
     assert isinstance(refused, commands.Refuse)
     assert refused.outcome is commands.Outcome.UNKNOWN
 
 
-def test_what_has_begun_on_replaced_weights_goes_on(core):
+def test_a_stream_begun_on_superseded_weights_is_not_withdrawn(core):
     """Guards against withdrawing a stream while its engine generates it.
 
     It began in time, so it may finish on its superseded weights.
     """
-    chat(core, NOW + 5 * SECOND)
+    send_prompt(core, NOW + 5 * SECOND)
     core.forwarding.first_byte("r1", now=NOW + 7 * SECOND)
-    assert withdrawn(core, NOW + 7.5 * SECOND) == []
-    assert withdrawn(core, NOW + 9 * SECOND) == []
+    assert withdrawn_at(core, NOW + 7.5 * SECOND) == []
+    assert withdrawn_at(core, NOW + 9 * SECOND) == []
 
 
-def test_a_stream_that_goes_on_elsewhere_has_to_begin_there_too(core):
+def test_a_resumed_stream_is_withdrawn_if_it_does_not_begin_in_time(core):
     """Guards against a stream that resumes on weights superseded over 8 s before.
 
     Its connection breaks, and it is queued at a second engine. Because the first
     engine had begun the answer, the wait at the second one was not checked.
     """
-    chat(core, NOW + SECOND)
+    send_prompt(core, NOW + SECOND)
     core.forwarding.first_byte("r1", now=NOW + 2 * SECOND)
     soon = NOW + 5 * SECOND
     again = core.forwarding.ended("r1", sends.Ending.LOST, now=soon)
     assert again.attempt == 2
-    assert withdrawn(core, NOW + 7.5 * SECOND) == [("r1", 2)]
+    assert withdrawn_at(core, NOW + 7.5 * SECOND) == [("r1", 2)]
 
 
-def test_each_version_has_its_own_time(core):
+def test_each_superseded_version_has_its_own_time_limit(core):
     """Guards against measuring all versions from the latest announcement.
 
     Version 3 is announced 5 s after version 2, while prompts wait. The limit for
@@ -228,18 +228,18 @@
     from the announcement of 2.
     """
     core.state.targets.get("llm-3").learn_version("m", 2)
-    new = chat(core, NOW + SECOND, request_id="new")
+    new = send_prompt(core, NOW + SECOND, request_id="new")
     core.state.targets.get("llm-3").leaving = True
-    old = chat(core, NOW + SECOND, request_id="old")
+    old = send_prompt(core, NOW + SECOND, request_id="old")
     assert (new.version, old.version) == (2, 1)
     core.step(NOW + 5 * SECOND, [weights.VersionNamed("m", 3)])
-    assert withdrawn(core, NOW + 7.5 * SECOND) == [("old", 1)]
+    assert withdrawn_at(core, NOW + 7.5 * SECOND) == [("old", 1)]
     core.forwarding.close("old", now=NOW + 7.5 * SECOND)
-    assert withdrawn(core, NOW + 12 * SECOND) == []
-    assert withdrawn(core, NOW + 12.5 * SECOND) == [("new", 1)]
+    assert withdrawn_at(core, NOW + 12 * SECOND) == []
+    assert withdrawn_at(core, NOW + 12.5 * SECOND) == [("new", 1)]
 
 
-def test_what_was_sent_before_a_version_was_named_has_its_time_too():
+def test_a_send_before_an_announcement_is_withdrawn_in_time_too():
     """Guards against skipping prompts that were sent before the announcement.
 
     The prompt already waits at its engine when a new weight version is announced.
@@ -247,50 +247,52 @@
     core = gateways.make_gateway()
     target = gateways.make_target("llm-3", "llm", versions={"m": 1})
     core.step(NOW, [targetlist.TargetsListed((target,))])
-    chat(core, NOW)
-    assert withdrawn(core, NOW + 5 * SECOND) == []
+    send_prompt(core, NOW)
+    assert withdrawn_at(core, NOW + 5 * SECOND) == []
     core.step(NOW + 5 * SECOND, [weights.VersionNamed("m", 2)])
-    assert withdrawn(core, NOW + 12 * SECOND) == []
-    assert withdrawn(core, NOW + 12.5 * SECOND) == [("r1", 1)]
+    assert withdrawn_at(core, NOW + 12 * SECOND) == []
+    assert withdrawn_at(core, NOW + 12.5 * SECOND) == [("r1", 1)]
 
 
-def test_nothing_is_withdrawn_of_a_request_that_is_over(core):
-    chat(core, NOW + 5 * SECOND)
+def test_a_closed_request_is_not_withdrawn(core):
+    send_prompt(core, NOW + 5 * SECOND)
     core.forwarding.close("r1", now=NOW + 6 * SECOND)
-    assert withdrawn(core, NOW + 7.5 * SECOND) == []
+    assert withdrawn_at(core, NOW + 7.5 * SECOND) == []
 
 
-def test_the_log_of_a_send_tells_how_long_its_weights_are_replaced(core):
+def test_the_log_of_a_send_shows_how_long_its_weights_are_superseded(core):
     """Guards against logs that can't explain an answer on superseded weights.
 
     They must distinguish a prompt that was sent too late from one that began late.
     """
-    sent = chat(core, NOW + 5 * SECOND)
+    sent = send_prompt(core, NOW + 5 * SECOND)
     assert "version 1, replaced by 2 5000 ms ago" in sent.reason
     core.state.targets.get("llm-3").learn_version("m", 2)
     core.state.targets.get("llm-4").learn_version("m", 2)
-    assert "replaced" not in chat(core, NOW + 5 * SECOND, request_id="r2").reason
+    assert "replaced" not in send_prompt(core, NOW + 5 * SECOND, request_id="r2").reason
 
 
-def test_hosts_do_not_all_take_the_one_engine_that_was_idle():
+def test_hosts_do_not_all_choose_the_same_idle_engine():
     """Guards against a herd of prompts from all hosts at the one idle engine."""
-    core = make_core_before_engines(40)
+    core = make_core_with_engines(40)
     for row in core.state.targets:
         busy = world.SentWork(NOW, 0 if row.name == "llm-7" else 40_000)
         row.peer_work_by_entry["entry-2"] = busy
-    chosen = collections.Counter(ask_once(core, number) for number in range(100))
+    chosen = collections.Counter(
+        target_of_new_context(core, number) for number in range(100)
+    )
     assert chosen["llm-7"] < 40
 
 
-def test_a_context_leaves_its_few_engines_when_they_are_full():
-    core = make_core_before_engines(40)
+def test_a_context_uses_other_engines_when_its_preferred_ones_are_full():
+    core = make_core_with_engines(40)
     for row in core.state.targets:
         if row.name != "llm-7":
             row.held_by_request["other"] = 200_000
-    assert {ask_once(core, number) for number in range(20)} == {"llm-7"}
+    assert {target_of_new_context(core, number) for number in range(20)} == {"llm-7"}
 
 
-def make_core_before_engines(count):
+def make_core_with_engines(count):
     core = gateways.make_gateway()
     names = [f"llm-{number}" for number in range(count)]
     targets = tuple(gateways.make_target(name, "llm") for name in names)
@@ -298,7 +300,7 @@
     return core
 
 
-def ask_once(core, number):
+def target_of_new_context(core, number):
     """Send a prompt of a new context, end it, and return its target."""
     prompt = (kvstores.Part(f"context-{number}", 3000), kvstores.Part("own", 10))
     sent = gateways.begin(
--- a/tests/decide/test_gateway.py
+++ b/tests/decide/test_gateway.py
@@ -37,7 +37,7 @@
     return made
 
 
-def test_targets_stay_when_the_entries_are_listed_after_them(core):
+def test_listing_entry_hosts_after_targets_keeps_the_targets(core):
     """Guards against a list of entry hosts that removes all targets.
 
     After a power loss all hosts start together, and the entry hosts are listed after
@@ -49,7 +49,7 @@
     assert isinstance(gateways.begin(core, "/once/1"), sends.Forward)
 
 
-def test_a_leaving_host_refuses_only_what_may_outlast_it(core):
+def test_a_leaving_host_refuses_only_requests_that_may_outlast_it(core):
     """Guards against a leaving host that cuts requests off, or refuses all of them.
 
     Callers with an old address connect to a host that has received SIGTERM. It still
@@ -67,7 +67,7 @@
     assert isinstance(soon_over, sends.Forward)
 
 
-def test_a_leaving_host_takes_no_booking_that_it_may_cut_off(core):
+def test_a_leaving_host_refuses_bookings_that_it_may_cut_off(core):
     """Guards against a booking that is cut off with an unknown outcome.
 
     It arrives right after SIGTERM, and its time limit ends after the host does. A
@@ -84,7 +84,7 @@
     )
 
 
-def test_a_second_order_to_leave_changes_no_end(core):
+def test_a_second_order_to_leave_does_not_move_the_end(core):
     core.step(NOW, [events.LeaveAsked(NOW + 7.7 * SECOND)])
     first = core.state.departure
     core.step(
@@ -94,12 +94,12 @@
     assert core.state.departure is first
 
 
-def test_refuses_what_no_route_or_key_allows(core):
+def test_requests_without_a_route_or_known_key_are_refused(core):
     assert gateways.begin(core, "/none/").code is commands.Code.NO_ROUTE
     assert gateways.begin(core, "/once/", key="old").code is commands.Code.UNKNOWN_KEY
 
 
-def test_says_not_ready_rather_than_unknown_before_a_configuration():
+def test_without_a_configuration_the_refusal_is_not_ready():
     """Guards against a final refusal by a host that has just started.
 
     It has no configuration yet. A 404 or 401 would keep the caller from trying the
@@ -112,7 +112,7 @@
     assert refused.outcome is commands.Outcome.NOT_RUN
 
 
-def test_never_repeats_what_may_run_once(core):
+def test_a_once_only_request_is_never_retried_after_a_lost_answer(core):
     """Guards against a booking that runs twice, or that is reported as not run.
 
     The target's answer is lost, so it is unknown whether the booking ran. It is not
@@ -124,13 +124,13 @@
     assert refused.outcome is commands.Outcome.UNKNOWN
 
 
-def test_sends_on_what_the_target_did_not_run(core):
+def test_a_request_that_was_turned_away_goes_to_another_target(core):
     first = gateways.begin(core, "/once/1")
     second = core.forwarding.ended("r1", sends.Ending.TURNED_AWAY, now=NOW)
     assert second.target != first.target
 
 
-def test_repeats_a_lookup_at_another_target_up_to_its_attempts(core):
+def test_a_lookup_is_retried_at_another_target_up_to_max_attempts(core):
     first = gateways.begin(core, "/read/1")
     second = core.forwarding.ended("r1", sends.Ending.FAILED, now=NOW)
     assert second.target != first.target
@@ -138,7 +138,7 @@
     assert isinstance(last, sends.PassOn)
 
 
-def test_repeats_stay_within_the_shared_budget():
+def test_retries_stay_within_the_shared_budget():
     """Guards against retries that double the load of an overloaded service.
 
     A service fails all lookups under high load. The retries of one host stay below
@@ -156,14 +156,14 @@
     assert 20 < repeats <= 0.2 * 200 + 10
 
 
-def test_a_configuration_never_goes_back(core):
+def test_a_configuration_version_never_goes_back(core):
     newer = gateways.make_configuration(3, routes=())
     core.step(NOW, [gateway.ConfigurationRead(newer)])
     core.step(NOW, [gateway.ConfigurationRead(gateways.make_configuration(2))])
     assert core.forwarding.configuration.version == 3
 
 
-def test_a_leaving_target_gets_nothing_new(core):
+def test_a_leaving_target_gets_no_new_requests(core):
     leaving = gateways.make_target("desk-1", leaving=True, revision=2)
     core.step(NOW, [targetlist.TargetChanged(leaving)])
     targets = {
@@ -173,7 +173,7 @@
     assert targets == {"desk-2"}
 
 
-def test_an_old_record_does_not_bring_a_leaving_target_back(core):
+def test_an_older_record_does_not_restore_a_leaving_target(core):
     core.step(
         NOW,
         [targetlist.TargetChanged(gateways.make_target("desk-1", "desk", True, 5))],
@@ -185,7 +185,7 @@
     assert core.state.targets.get("desk-1").leaving
 
 
-def test_targets_that_lapsed_with_the_platform_are_used_until_they_are_back(core):
+def test_targets_whose_records_expired_in_an_outage_are_used_until_they_register(core):
     """Guards against refusals after an outage in which all target records expired.
 
     The first list after the platform's return is empty, although the targets still
@@ -205,7 +205,7 @@
     return tuple(kvstores.Part(part_id, tokens) for part_id, tokens in parts)
 
 
-def chat(core, request_id="c1", now=NOW, account="key-1", parts=None):
+def send_prompt(core, request_id="c1", now=NOW, account="key-1", parts=None):
     parts = parts or prompt(("a", 100), ("b", 4000), (request_id, 50))
     return gateways.begin(
         core,
@@ -221,14 +221,14 @@
 def test_prompts_of_one_context_share_a_target(core):
     targets = set()
     for number in range(12):
-        sent = chat(core, f"c{number}")
+        sent = send_prompt(core, f"c{number}")
         targets.add(sent.target)
         core.forwarding.first_byte(f"c{number}", now=NOW)
         core.forwarding.close(f"c{number}", now=NOW)
     assert len(targets) == 1
 
 
-def test_cache_of_an_isolated_account_is_kept_apart():
+def test_an_isolated_account_has_its_own_salt():
     """Guards against an engine that serves one account's KV cache to an isolated one.
 
     Two accounts send the same prompt, and one of them is isolated. With the same
@@ -255,21 +255,21 @@
             )
         ],
     )
-    assert chat(core, "c1").salt != chat(core, "c2", account="key-2").salt
+    assert send_prompt(core, "c1").salt != send_prompt(core, "c2", account="key-2").salt
 
 
-def test_salt_and_expected_version_are_what_the_target_runs(core):
+def test_salt_and_expected_version_match_what_the_target_runs(core):
     core.step(NOW, [weights.VersionNamed("m", 2)])
-    sent = chat(core)
+    sent = send_prompt(core)
     assert sent.version == 1
     assert sent.salt == "1"
     row = core.state.targets.get(sent.target)
     row.learn_version("m", 2)
-    sent = chat(core, "c2", NOW + 5 * SECOND)
+    sent = send_prompt(core, "c2", NOW + 5 * SECOND)
     assert (sent.target, sent.version, sent.salt) == (row.name, 2, "2")
 
 
-def test_a_refused_version_is_not_taken_for_the_newest(core):
+def test_an_engine_that_refuses_a_version_is_not_assumed_to_run_the_newest(core):
     """Guards against requests that an engine refuses forever for a wrong version.
 
     A third version is announced while engines run different older ones. An engine
@@ -286,13 +286,13 @@
     assert core.weights.running(row, "m") == 1
 
 
-def test_nothing_begins_on_weights_that_should_be_gone(core):
+def test_no_prompt_is_sent_to_weights_superseded_too_long_ago(core):
     core.step(NOW, [weights.VersionNamed("m", 2)])
-    refused = chat(core, now=NOW + 7 * SECOND)
+    refused = send_prompt(core, now=NOW + 7 * SECOND)
     assert isinstance(refused, commands.Refuse)
 
 
-def test_hosts_of_a_lost_data_centre_keep_nobody_from_the_lease():
+def test_hosts_of_a_lost_data_centre_do_not_block_the_lease():
     """Guards against a lease that nobody takes after the loss of a data centre.
 
     Only the first two hosts by rank check the lease. Hosts of a lost data centre
