--- a/tests/decide/test_calls.py
+++ b/tests/decide/test_calls.py
@@ -43,12 +43,12 @@
     )
 
 
-def about(request_id, found):
+def commands_for(request_id, found):
     return [item for item in found if getattr(item, "request_id", "") == request_id]
 
 
 @pytest.mark.parametrize("seconds, taken", [(59, True), (60, True), (61, False)])
-def test_a_leaving_entry_takes_a_call_only_if_it_is_over_before_the_end(seconds, taken):
+def test_a_leaving_entry_accepts_only_calls_that_end_before_it_does(seconds, taken):
     """Guards against a booking that a leaving entry accepts and then cuts off.
 
     Callers send bookings until the entry's last second. If one outlasts the entry,
@@ -56,7 +56,9 @@
     """
     made = make_core()
     made.step(START, [events.LeaveAsked(ENDS_AT)])
-    (command,) = about("late", made.step(START, [arrival("late", START, seconds)]))
+    (command,) = commands_for(
+        "late", made.step(START, [arrival("late", START, seconds)])
+    )
     if taken:
         assert isinstance(command, commands.SendCall)
         return
@@ -65,7 +67,7 @@
     assert command.outcome is commands.Outcome.NOT_RUN
 
 
-def test_an_entry_that_has_left_takes_nothing_and_repeats_its_answers():
+def test_an_entry_that_has_left_refuses_new_calls_and_replays_stored_answers():
     """Guards against a call that starts just before the entry's ports close.
 
     It arrives after the last answer. A repeat of an earlier call still gets the
@@ -76,11 +78,11 @@
     made.step(START, [arrival("booking", START, 30, key="ticket")])
     made.step(START, [events.CallAnswered("booking", 1, answer)])
     made.step(START, [events.LeaveAsked(ENDS_AT), events.HasLeft()])
-    (refused,) = about("late", made.step(START, [arrival("late", START, 1)]))
+    (refused,) = commands_for("late", made.step(START, [arrival("late", START, 1)]))
     assert refused.code is commands.Code.SHUTTING_DOWN
     assert refused.outcome is commands.Outcome.NOT_RUN
     again = arrival("again", START, 30, key="ticket")
-    assert about("again", made.step(START, [again])) == [
+    assert commands_for("again", made.step(START, [again])) == [
         commands.ReplyStored("again", answer, replayed=True)
     ]
 
@@ -94,7 +96,7 @@
         (events.HostState.DEAD, commands.Code.OUTCOME_UNKNOWN),
     ],
 )
-def test_a_call_is_said_to_run_only_while_its_entry_may_run_it(state, code):
+def test_still_running_is_answered_only_while_the_holder_may_run_the_call(state, code):
     """Guards against "still running" answers about a call that has surely ended.
 
     An entry leaves and can't record how its booking ended. Other entries know that
@@ -103,32 +105,36 @@
     """
     made = make_core()
 
-    def hear(spoken, heartbeat):
+    def gossip_from_peer(peer_state, heartbeat):
         member = gossip.Member(
-            "entry-2", "dc", "http://f", "f:1", "", 7, heartbeat, spoken, 0
+            "entry-2", "dc", "http://f", "f:1", "", 7, heartbeat, peer_state, 0
         )
         message = gossip.GossipMessage("entry-2", "dc", members=(member,))
         return gossip.GossipReceived("round", message)
 
-    made.step(START, [hear(events.HostState.LIVE, 1), hear(state, 2)])
+    made.step(
+        START, [gossip_from_peer(events.HostState.LIVE, 1), gossip_from_peer(state, 2)]
+    )
     repeat = arrival("repeat", START, 30, "key", events.KeyKind.CALLER)
     made.step(START, [repeat])
     claim = events.Claim(
         "entry-2", 7, "nonce", "fingerprint", events.ClaimState.RUNNING, START
     )
     found = made.step(START, [events.ClaimFound("repeat", 3, claim)])
-    (refused,) = about("repeat", found)
+    (refused,) = commands_for("repeat", found)
     assert (refused.code, refused.outcome) == (code, commands.Outcome.UNKNOWN)
 
 
-def test_a_call_that_crashes_its_service_is_refused_at_the_fourth_time():
+def test_a_call_that_crashes_its_service_three_times_is_refused():
     """Guards against a repeated call that crashes its service after each restart."""
     made = make_core()
     second = datetime.timedelta(seconds=1)
     now = START
     for number in range(3):
         now += second
-        (sent,) = about(f"r{number}", made.step(now, [arrival(f"r{number}", now, 30)]))
+        (sent,) = commands_for(
+            f"r{number}", made.step(now, [arrival(f"r{number}", now, 30)])
+        )
         ended = events.AttemptEnded(
             sent.request_id, sent.attempt, events.Ending.LINK_LOST
         )
@@ -138,6 +144,6 @@
         made.step(now, [crashes.LifeRefuses(life)])
         made.state.targets.get("hall-1").shunned_until = None
     now += second
-    (refused,) = about("last", made.step(now, [arrival("last", now, 30)]))
+    (refused,) = commands_for("last", made.step(now, [arrival("last", now, 30)]))
     assert refused.code is commands.Code.QUARANTINED
     assert refused.outcome is commands.Outcome.NOT_RUN
--- a/tests/decide/test_prompts.py
+++ b/tests/decide/test_prompts.py
@@ -45,7 +45,7 @@
     return events.PromptArrived(request_id, "desk", "words", "text", 10, 10, deadline)
 
 
-def test_retries_do_not_finish_off_a_slow_pool():
+def test_retries_do_not_overload_a_slow_pool():
     """Guards against retries that multiply the load of an overloaded pool.
 
     Every engine refuses. If each of a thousand prompts were tried at four engines,
@@ -68,7 +68,7 @@
     assert 1000 < sent <= 1000 * 1.1 + 10
 
 
-def test_refusal_says_when_to_come_back_and_not_all_at_once():
+def test_refusals_carry_jittered_retry_delays():
     """Guards against refused callers that all retry at the same time.
 
     No engine is left, so all prompts are refused with a retry-after.
@@ -83,7 +83,7 @@
     assert len(waits) > 90
 
 
-def test_queue_goes_in_turn_by_weight():
+def test_queue_serves_accounts_in_proportion_to_weight():
     queue = fairqueue.FairQueue()
     for number in range(30):
         queue.push("large", f"large-{number}")
@@ -97,7 +97,7 @@
     assert counted == {"small": 20, "large": 10}
 
 
-def test_chain_is_of_its_account_and_version_alone():
+def test_block_ids_differ_between_accounts_and_versions():
     text = "x" * 1024
     salts = [
         hashing.salt("desk", "words", "v1"),
@@ -131,7 +131,7 @@
     assert after.outcome is commands.Outcome.NOT_RUN
 
 
-def crash_under(made, request_id, now, found):
+def crash_target_of(made, request_id, now, found):
     """Simulate a crash of a prompt's target; return the commands that follow."""
     sent = next(item for item in found if isinstance(item, commands.SendPrompt))
     lost, gone = events.Ending.LINK_LOST, events.Ending.NOT_SENT
@@ -149,17 +149,17 @@
     )
 
 
-def test_a_prompt_that_crashes_engines_reaches_three():
+def test_a_prompt_that_crashes_engines_reaches_three_at_most():
     """Guards against a repeated prompt that crashes one engine after the other."""
     made = make_core([f"engine-{number}" for number in range(6)])
     now = START + datetime.timedelta(seconds=1)
     found = made.step(now, [bad_arrival("r1", now)])
-    found = crash_under(made, "r1", now, found)
-    refused = crash_under(made, "r1", now, found)[-1]
+    found = crash_target_of(made, "r1", now, found)
+    refused = crash_target_of(made, "r1", now, found)[-1]
     assert refused.outcome is commands.Outcome.UNKNOWN
     assert refused.code is commands.Code.SUSPECTED
     now += datetime.timedelta(seconds=1)
-    crash_under(made, "r2", now, made.step(now, [bad_arrival("r2", now)]))
+    crash_target_of(made, "r2", now, made.step(now, [bad_arrival("r2", now)]))
     now += datetime.timedelta(seconds=1)
     found = made.step(now, [bad_arrival("r3", now)])
     (again,) = [item for item in found if isinstance(item, commands.Refuse)]
@@ -167,7 +167,7 @@
     assert again.outcome is commands.Outcome.NOT_RUN
 
 
-def test_an_engine_that_is_back_under_its_name_clears_no_prompt():
+def test_an_engine_restarted_under_its_name_clears_no_prompt():
     """Guards against a crash that seems refuted when the engine answers again.
 
     The restarted engine has the same name, so its answer was attributed to the
@@ -176,7 +176,7 @@
     made = make_core(["engine-0"])
     now = START + datetime.timedelta(seconds=1)
     found = made.step(now, [bad_arrival("r1", now)])
-    crash_under(made, "r1", now, found)
+    crash_target_of(made, "r1", now, found)
     row = made.state.targets.get("engine-0")
     assert made.crashes.life_of(row) == lives.Life("engine-0", 1)
     row.shunned_until = None
