--- a/packages/decide/sesamespindle/decide/calls.py
+++ b/packages/decide/sesamespindle/decide/calls.py
@@ -490,6 +490,7 @@
             self.keys.remove(oldest.account_and_key)
 
     def _give_up_unrun(self, row, code, message, now):
+        """Refuse a call as not run, or as unknown if an attempt may have run."""
         if row.may_have_run:
             self._give_up_unknown(row, now)
             return
@@ -528,6 +529,7 @@
             )
 
     def _remove(self, row, now, keep_key=False):
+        """Remove a call, free its slot, and drop its key unless that is to be kept."""
         self.rows.remove(row.request_id)
         self._release_target(row)
         if row.key and not keep_key:
@@ -538,6 +540,7 @@
         self.drain(now)
 
     def _release_target(self, row):
+        """Stop counting a call against its target."""
         target = self._state.targets.get(row.target)
         if target is not None:
             target.running_here = max(0, target.running_here - 1)
--- a/packages/decide/sesamespindle/decide/forwarding.py
+++ b/packages/decide/sesamespindle/decide/forwarding.py
@@ -33,6 +33,7 @@
 # How long an engine that still has superseded weights counts as loading the new
 # ones after it turned a request away. Loading takes 0.4 s.
 _WEIGHT_LOADING_TIME = datetime.timedelta(milliseconds=300)
+# How long a target gets no new work after it turned a request away.
 _BUSY_EJECTION_TIME = datetime.timedelta(milliseconds=100)
 # The most sends of one request, including those that targets turned away without
 # running it; after that it is refused.
@@ -286,9 +287,11 @@
         return self._state.target_in(flight.life) if flight is not None else None
 
     def _count_live_entries(self):
+        """Return the number of live entry hosts, at least 1."""
         return max(len(self._state.live_entries()), 1)
 
     def _choose_service(self, route):
+        """Return the name of a service of a route, drawn by weight."""
         if len(route.shares) == 1:
             return route.shares[0].service
         weights = [share.weight for share in route.shares]
@@ -378,6 +381,7 @@
         return self._quarantine.narrow(flight.fingerprint, rows, now)
 
     def _would_wait_too_long(self, flight, row, now):
+        """Return whether the queue at a target is too long for the time left."""
         time_left = flight.until - now
         wait = datetime.timedelta(seconds=placement.queue_seconds(row, now))
         return wait > time_left * _MAX_WAIT_SHARE
@@ -403,8 +407,9 @@
         target, and the target did not say that it left the request alone, only
         idempotent requests and resumable streams are sent again.
 
-        Also guards against a request that crashes one target after the other. After
-        two crashes it gets a final answer, and is sent only if its caller retries.
+        Also guards against a request that crashes one target after the other. Once
+        two targets may have crashed under it, it gets a final answer, and is sent
+        again only if its caller retries it.
         """
         if maybe_ran and flight.route.repeats is routes.Repeats.ONCE:
             return False
@@ -443,6 +448,7 @@
                 self._crashes.answered(flight.life, flight.sent_at)
 
     def _note_ending(self, flight, row, ending, now):
+        """Record what a send's end shows about the health and weights of its target."""
         if row is None:
             return
         match ending:
--- a/packages/decide/sesamespindle/decide/prompts.py
+++ b/packages/decide/sesamespindle/decide/prompts.py
@@ -255,6 +255,7 @@
             self.drain(now)
 
     def _start(self, row, now):
+        """Start a prompt that has a slot."""
         state = self._state
         account = state.accounts.get(row.account)
         if account is None:
@@ -299,6 +300,7 @@
         )
 
     def _send(self, row, now, retry_after=None):
+        """Send a prompt to a target, or refuse it if none can start it in time."""
         state = self._state
 
         def narrow(targets):
@@ -406,6 +408,7 @@
         )
 
     def _start_elsewhere(self, row, now, retry_after=None):
+        """Start a prompt at another target, or refuse it where that isn't allowed."""
         policy = self._state.policy
         if now >= row.deadline:
             self._give_up(row, commands.Code.DEADLINE, "The deadline has passed.", now)
@@ -449,6 +452,7 @@
             catalogue.note_failure(self._state, target, now)
 
     def _remove(self, row, now):
+        """Remove a prompt and free its slot."""
         self.rows.remove(row.request_id)
         self._admission.remove(row.account, row.request_id)
         self._release_target(row)
@@ -456,6 +460,7 @@
             self._admission.end(row.account, now - row.started_at)
 
     def _release_target(self, row):
+        """Stop counting a prompt against its target."""
         target = self._state.targets.get(row.target)
         if target is not None:
             target.running_here = max(0, target.running_here - 1)
--- a/packages/decide/sesamespindle/decide/sends.py
+++ b/packages/decide/sesamespindle/decide/sends.py
@@ -19,7 +19,7 @@
     REFUSED = "refused"
     # The target says that it did not run the request, as it is full or leaving.
     TURNED_AWAY = "turned_away"
-    # Another target, or another incarnation of this one, uses the address now.
+    # Another target uses the address now.
     WRONG_TARGET = "wrong_target"
     # The target runs another weight version than the request expects.
     WRONG_VERSION = "wrong_version"
