--- a/packages/decide/sesamespindle/decide/sends.py
+++ b/packages/decide/sesamespindle/decide/sends.py
@@ -25,7 +25,7 @@
     WRONG_VERSION = "wrong_version"
     # The target ran the request and answered with a failure.
     FAILED = "failed"
-    # The connection broke, so it isn't known whether the request ran.
+    # The answer was lost or unusable, so it isn't known whether the request ran.
     LOST = "lost"
     # No answer began within the timeout of the send.
     SILENT = "silent"
