--- a/packages/decide/sesamespindle/decide/prompts.py
+++ b/packages/decide/sesamespindle/decide/prompts.py
@@ -1,4 +1,4 @@
-"""Prompts from arrival to end: admission, queueing, sending, recovery."""
+"""Prompts from arrival to final answer: admission, queueing, sending, recovery."""
 
 import dataclasses
 import datetime
@@ -17,22 +17,32 @@
     world,
 )
 
-_NO_PAUSE = datetime.timedelta(0)
+_NO_DELAY = datetime.timedelta(0)
 
 
 @dataclasses.dataclass(slots=True)
 class PromptRow:
-    """A prompt that waits or runs.
+    """A prompt that is queued or runs.
 
     Attributes
     ----------
     ids : tuple of str
-        The chain of block ids.
+        The ids of its KV cache blocks, each of which covers all text up to it.
+    home_key : str
+        What rendezvous hashing ranks the engines by: the account and the context.
+    attempt : int
+        The number of the last attempt, counting starts and resumes.
+    starts : int
+        Attempts that started the generation anew.
+    resumes : int
+        Attempts to reconnect to the stream since the last start.
     version : str
-        The weight version that its first token came from; empty before that.
+        The weight version that generated its first token; empty before that.
     resume_target : str
         The target of a stream that another entry began, so that the text
         already delivered isn't known here; empty for a prompt begun here.
+    delivered : int
+        Tokens that the caller already has.
     """
 
     request_id: str
@@ -55,26 +65,26 @@
     delivered: int = 0
     version: str = ""
     fingerprint: str = ""
-    # The life of the target that it was sent to last, and when.
+    # The target incarnation that it was last sent to, and when.
     life: lives.Life | None = None
     sent_at: datetime.datetime | None = None
 
 
 class Prompts:
-    """Decides which prompt runs where and when, and what happens after a fault.
+    """Decides where and when each prompt runs, and how it recovers from failures.
 
     Parameters
     ----------
     state : world.World
         The shared tables.
     admission : admission.Admission
-        The slots of accounts for prompts.
+        The prompt slots and the queue of each account.
     crashes : crashes.Crashes
-        Is told how attempts end.
+        Receives how attempts end, to detect crashes of targets.
     quarantine : quarantine.Quarantine
-        Knows which prompts crash targets.
+        Which prompts are suspected of crashing targets.
     fingerprints : fingerprints.Fingerprints
-        Names prompts.
+        Computes the fingerprints of prompts.
     """
 
     def __init__(self, state, admission, crashes, quarantine, fingerprints):
@@ -87,7 +97,15 @@
         self.contexts = contexts.Contexts()
 
     def arrive(self, event, now):
-        """Queue a prompt, or refuse it at once."""
+        """Queue a new prompt, or refuse it at once.
+
+        Parameters
+        ----------
+        event : events.PromptArrived
+            The prompt.
+        now : datetime.datetime
+            The current time.
+        """
         state = self._state
         model = state.models.get(event.model)
         account = state.accounts.get(event.account)
@@ -104,7 +122,8 @@
                 self._state,
                 event.request_id,
                 commands.Code.CONTEXT_TOO_LONG,
-                f"The model takes {model.context_tokens} tokens in all.",
+                f"The model's context holds {model.context_tokens} tokens, "
+                "prompt and answer together.",
             )
             return
         fingerprint = self._fingerprints.of(event.account, event.content)
@@ -113,8 +132,8 @@
             refusals.refuse_quarantined(state, event.request_id, refusal)
             return
         if state.departure is not None and state.departure.is_over:
-            # Before that prompts are taken whatever they may last: one that is cut
-            # off can be read on, or sent again, at another entry without harm.
+            # Until then a leaving host accepts prompts of any duration: one that is
+            # cut off can be resumed or sent again at another entry.
             refusals.refuse_leaving(state, event.request_id)
             return
         wait = self._admission.expected_wait(account, now)
@@ -123,16 +142,16 @@
                 self._state,
                 event.request_id,
                 commands.Code.CONCURRENCY,
-                "The account has as many prompts running as its contract allows.",
+                "The account already runs as many prompts as its contract allows.",
                 wait,
             )
             return
-        self.rows.add(_row(event, model, fingerprint, now))
+        self.rows.add(_new_row(event, model, fingerprint, now))
         self._admission.push(event.account, event.request_id, now)
         self.drain(now)
 
     def drain(self, now):
-        """Start queued prompts while there are slots for them."""
+        """Start queued prompts while their accounts have free slots."""
         while True:
             request_id = self._admission.take(now)
             if request_id is None:
@@ -140,22 +159,26 @@
             self._start(self.rows.get(request_id), now)
 
     def tick(self, now):
-        """Give up prompts whose time has passed, and start what can start."""
+        """Refuse prompts that were queued too long, and start others if possible."""
         for row in [row for row in self.rows if row.started_at is None]:
             waited_too_long = now - row.arrived_at > self._state.policy.queue_patience
             if waited_too_long or now >= row.deadline:
-                self._drop(row, now)
+                self._remove(row, now)
                 refusals.refuse_unrun(
                     self._state,
                     row.request_id,
                     commands.Code.CONCURRENCY,
-                    "No slot of the account's limit came free in time.",
+                    "No slot of the account's limit became free in time.",
                     self._state.policy.retry_after,
                 )
         self.drain(now)
 
     def first_token(self, event, now):
-        """Learn where the context is now, and which weights the answer is of."""
+        """Record that an answer has begun.
+
+        Its target now holds the KV cache of the prompt, and its weight version
+        becomes that of the whole answer.
+        """
         row = self.rows.get(event.request_id)
         if row is None:
             return
@@ -169,21 +192,29 @@
         self.contexts.learn(row.ids, row.target, now)
 
     def end_attempt(self, event, now):
-        """Decide how a prompt goes on after an attempt ended."""
+        """Finish, resume, restart or refuse a prompt after an attempt has ended.
+
+        Parameters
+        ----------
+        event : events.AttemptEnded
+            How the attempt ended; ignored if it isn't the prompt's last attempt.
+        now : datetime.datetime
+            The current time.
+        """
         row = self.rows.get(event.request_id)
         if row is None or row.attempt != event.attempt:
             return
         row.delivered = event.delivered
-        self._tell_crashes(row, event.ending, now)
+        self._report_to_crashes(row, event.ending, now)
         target = self._state.targets.get(row.target)
         match event.ending:
             case events.Ending.COMPLETED:
                 if target is not None:
                     catalogue.note_success(target)
-                self._drop(row, now)
+                self._remove(row, now)
                 self.drain(now)
             case events.Ending.NOT_SENT:
-                self._fail(target, now)
+                self._note_failure(target, now)
                 self._start_elsewhere(row, now)
             case events.Ending.REFUSED:
                 self._start_elsewhere(row, now, event.retry_after)
@@ -192,7 +223,7 @@
                 self._resume(row, target, now)
             case events.Ending.STREAM_GONE:
                 row.may_have_run = True
-                self._fail(target, now)
+                self._note_failure(target, now)
                 self._start_elsewhere(row, now)
             case events.Ending.TIMED_OUT:
                 row.may_have_run = True
@@ -200,8 +231,8 @@
                     row, commands.Code.DEADLINE, "The deadline has passed.", now
                 )
 
-    def _tell_crashes(self, row, ending, now):
-        """Tell how an attempt ended, as far as it says whether its target lives."""
+    def _report_to_crashes(self, row, ending, now):
+        """Report what an attempt's end shows about whether its target has crashed."""
         if row.sent_at is None:
             return
         match ending:
@@ -215,19 +246,20 @@
                 self._crashes.left(row.fingerprint, row.life, now)
 
     def leave(self, request_id, now):
-        """Forget a prompt whose caller is gone or has its answer."""
+        """Remove a prompt whose caller has left or has its answer."""
         row = self.rows.get(request_id)
         if row is not None:
             if row.sent_at is not None:
                 self._crashes.left(row.fingerprint, row.life, now)
-            self._drop(row, now)
+            self._remove(row, now)
             self.drain(now)
 
     def _start(self, row, now):
+        """Start a prompt that has a slot."""
         state = self._state
         account = state.accounts.get(row.account)
         if account is None:
-            self._drop(row, now)
+            self._remove(row, now)
             refusals.refuse_unrun(
                 self._state,
                 row.request_id,
@@ -244,19 +276,21 @@
         self._send(row, now)
 
     def _take_over(self, row, now):
-        """Read on a stream that another entry began."""
+        """Resume a stream that another entry began."""
         target = self._state.targets.get(row.resume_target)
         if target is None or not target.url:
-            self._give_up_taken_over(row, now)
+            self._refuse_taken_over(row, now)
             return
         row.target = target.name
         target.running_here += 1
         self._resume(row, target, now)
 
-    def _give_up_taken_over(self, row, now):
-        """Refuse to go on with an answer whose beginning isn't known here.
+    def _refuse_taken_over(self, row, now):
+        """Refuse to continue an answer that another entry began.
 
-        Guards against splicing the end of another generation onto it.
+        Guards against an answer of two different generations: the text delivered so
+        far isn't known here, so no target can be asked to continue it, and the rest
+        of a new generation would not fit.
         """
         self._give_up(
             row,
@@ -266,6 +300,7 @@
         )
 
     def _send(self, row, now, retry_after=None):
+        """Send a prompt to a target, or refuse it if none can start it in time."""
         state = self._state
 
         def narrow(targets):
@@ -276,26 +311,26 @@
             self._give_up(
                 row,
                 commands.Code.NO_TARGET,
-                "No target of the pool can take the prompt now.",
+                "No target of the pool can accept the prompt now.",
                 now,
                 retry_after,
             )
             return
-        patience = state.policy.first_token_patience.total_seconds()
-        if place.expected_seconds > patience:
+        timeout = state.policy.first_token_patience.total_seconds()
+        if place.expected_seconds > timeout:
             self._give_up(
                 row,
                 commands.Code.OVERLOADED,
-                "The pool has more work than it can start in time.",
+                "The pool has too much queued work to start the prompt in time.",
                 now,
                 datetime.timedelta(seconds=place.expected_seconds / 2),
             )
             return
-        self._place(row, place, now)
+        self._send_to(row, place, now)
 
-    def _place(self, row, place, now):
+    def _send_to(self, row, place, now):
         target = place.target
-        self._leave_target(row)
+        self._release_target(row)
         row.attempt += 1
         row.starts += 1
         row.resumes = 0
@@ -307,7 +342,7 @@
             now, row.tokens - place.reused_tokens
         )
         account = self._state.accounts.get(row.account)
-        version = self._version_at(row, target)
+        version = self._required_version(row, target)
         salt = hashing.salt(row.account, row.model, version)
         self._state.emit(
             commands.SendPrompt(
@@ -318,23 +353,27 @@
                 account.contract.priority if account else 1,
                 salt.hex(),
                 version,
-                self._store_url(target, now),
+                self._nearest_store_url(target, now),
             )
         )
 
-    def _version_at(self, row, target):
-        """Return the weight version that a prompt asks for at a target.
+    def _required_version(self, row, target):
+        """Return the weight version that a prompt requires of a target.
 
-        Guards against blocks of one version being read under another while
-        weights are swapped: the blocks' ids are made for the version that the
-        target last reported, and the target refuses the prompt if it has
-        another by now. A continued answer keeps the version that it began on.
+        Guards against KV cache of one weight version being used with another while
+        weights change, which would give wrong answers. The salt of the blocks
+        includes the version that the target last reported, and a target refuses
+        the prompt if it runs another version by then. A continued answer keeps the
+        version that it began on.
         """
         model = self._state.models.get(row.model)
         return row.version or target.version or (model.version if model else "")
 
-    def _store_url(self, target, now):
-        """Return the store host of a target's pool that is nearest to it."""
+    def _nearest_store_url(self, target, now):
+        """Return the URL of the store host nearest to a target, or an empty string.
+
+        Only usable stores of the target's pool count.
+        """
         pool = self._state.pools.get(target.pool)
         stores = [
             store
@@ -349,34 +388,38 @@
         return store.url if store else ""
 
     def _resume(self, row, target, now):
-        """Read on from the same stream, so that nothing is generated twice."""
+        """Reconnect to the same stream, so that no token is generated twice."""
         policy = self._state.policy
         if target is None or row.resumes >= policy.resume_attempts:
-            self._fail(target, now)
+            self._note_failure(target, now)
             self._start_elsewhere(row, now)
             return
         row.resumes += 1
         row.attempt += 1
-        pause = retries.backoff(row.resumes + 1, self._state.random)
+        delay = retries.backoff(row.resumes + 1, self._state.random)
         self._state.emit(
             commands.ResumeStream(
                 row.request_id,
                 row.attempt,
                 target.name,
                 target.url,
-                pause if row.resumes > 1 else _NO_PAUSE,
+                delay if row.resumes > 1 else _NO_DELAY,
             )
         )
 
     def _start_elsewhere(self, row, now, retry_after=None):
+        """Start a prompt at another target, or refuse it where that isn't allowed."""
         policy = self._state.policy
         if now >= row.deadline:
             self._give_up(row, commands.Code.DEADLINE, "The deadline has passed.", now)
         elif row.resume_target:
-            self._give_up_taken_over(row, now)
+            self._refuse_taken_over(row, now)
         elif row.may_have_run and self._quarantine.suspicion(row.fingerprint) > 1:
             self._give_up(
-                row, commands.Code.SUSPECTED, "Targets crashed under the prompt.", now
+                row,
+                commands.Code.SUSPECTED,
+                "Targets crashed while they ran the prompt.",
+                now,
             )
         elif row.starts >= policy.max_attempts:
             self._give_up(
@@ -390,7 +433,7 @@
             self._give_up(
                 row,
                 commands.Code.RETRY_BUDGET,
-                "The pool fails more often than retries are allowed for.",
+                "The retry budget of the pool is spent.",
                 now,
                 retry_after,
             )
@@ -398,24 +441,26 @@
             self._send(row, now, retry_after)
 
     def _give_up(self, row, code, message, now, retry_after=None):
-        """Give the final answer now; "not run" only where that is sure."""
+        """Refuse a prompt; the outcome is "not run" only if that is certain."""
         refuse = refusals.refuse_unknown if row.may_have_run else refusals.refuse_unrun
-        self._drop(row, now)
+        self._remove(row, now)
         wait = retry_after or self._state.policy.retry_after
         refuse(self._state, row.request_id, code, message, wait)
 
-    def _fail(self, target, now):
+    def _note_failure(self, target, now):
         if target is not None:
             catalogue.note_failure(self._state, target, now)
 
-    def _drop(self, row, now):
+    def _remove(self, row, now):
+        """Remove a prompt and free its slot."""
         self.rows.remove(row.request_id)
         self._admission.remove(row.account, row.request_id)
-        self._leave_target(row)
+        self._release_target(row)
         if row.started_at is not None:
             self._admission.end(row.account, now - row.started_at)
 
-    def _leave_target(self, row):
+    def _release_target(self, row):
+        """Stop counting a prompt against its target."""
         target = self._state.targets.get(row.target)
         if target is not None:
             target.running_here = max(0, target.running_here - 1)
@@ -424,12 +469,12 @@
 
 
 def may_use(account, model):
-    """Return whether an account's contract covers a model's pool."""
+    """Return whether an account's contract covers the pool of a model."""
     pools = account.contract.pools
     return not pools or model.pool in pools
 
 
-def _row(event, model, fingerprint, now):
+def _new_row(event, model, fingerprint, now):
     salt = hashing.salt(event.account, model.name, model.version)
     ids = hashing.chain(salt, event.text)
     hint = event.cache_hint or (ids[0] if ids else event.request_id)
--- a/tests/decide/test_calls.py
+++ b/tests/decide/test_calls.py
@@ -1,4 +1,4 @@
-"""Calls: what a leaving entry still takes."""
+"""Calls to plain services: leaving entries, lost claims, and calls that crash."""
 
 import datetime
 
@@ -43,20 +43,22 @@
     )
 
 
-def about(request_id, found):
+def commands_for(request_id, found):
     return [item for item in found if getattr(item, "request_id", "") == request_id]
 
 
 @pytest.mark.parametrize("seconds, taken", [(59, True), (60, True), (61, False)])
-def test_a_leaving_entry_takes_a_call_only_if_it_is_over_before_the_end(seconds, taken):
-    """Bookings come to an entry that is replaced, up to its last second.
+def test_a_leaving_entry_accepts_only_calls_that_end_before_it_does(seconds, taken):
+    """Guards against a booking that a leaving entry accepts and then cuts off.
 
-    Each was taken whatever it might last, and those that lasted longer than
-    the entry were cut off: the callers couldn't know whether they were made.
+    Callers send bookings until the entry's last second. If one outlasts the entry,
+    its caller can't know whether it was made.
     """
     made = make_core()
     made.step(START, [events.LeaveAsked(ENDS_AT)])
-    (command,) = about("late", made.step(START, [arrival("late", START, seconds)]))
+    (command,) = commands_for(
+        "late", made.step(START, [arrival("late", START, seconds)])
+    )
     if taken:
         assert isinstance(command, commands.SendCall)
         return
@@ -65,18 +67,22 @@
     assert command.outcome is commands.Outcome.NOT_RUN
 
 
-def test_an_entry_that_has_left_takes_nothing_and_repeats_its_answers():
-    """Requests that come after the last one was answered, before the ports close."""
+def test_an_entry_that_has_left_refuses_new_calls_and_replays_stored_answers():
+    """Guards against a call that starts just before the entry's ports close.
+
+    It arrives after the last answer. A repeat of an earlier call still gets the
+    stored answer.
+    """
     made = make_core()
     answer = events.StoredAnswer(200, "application/json", b"{}")
     made.step(START, [arrival("booking", START, 30, key="ticket")])
     made.step(START, [events.CallAnswered("booking", 1, answer)])
     made.step(START, [events.LeaveAsked(ENDS_AT), events.HasLeft()])
-    (refused,) = about("late", made.step(START, [arrival("late", START, 1)]))
+    (refused,) = commands_for("late", made.step(START, [arrival("late", START, 1)]))
     assert refused.code is commands.Code.SHUTTING_DOWN
     assert refused.outcome is commands.Outcome.NOT_RUN
     again = arrival("again", START, 30, key="ticket")
-    assert about("again", made.step(START, [again])) == [
+    assert commands_for("again", made.step(START, [again])) == [
         commands.ReplyStored("again", answer, replayed=True)
     ]
 
@@ -90,40 +96,45 @@
         (events.HostState.DEAD, commands.Code.OUTCOME_UNKNOWN),
     ],
 )
-def test_a_call_is_said_to_run_only_while_its_entry_may_run_it(state, code):
-    """A customer repeats a booking whose entry left and could not record its end.
+def test_still_running_is_answered_only_while_the_holder_may_run_the_call(state, code):
+    """Guards against "still running" answers about a call that has surely ended.
 
-    The entry had said that nothing of it runs any more, yet for ten minutes
-    each repeat was told that the booking still runs, and to ask again.
+    An entry leaves and can't record how its booking ended. Other entries know that
+    it runs nothing any more, yet each repeat was answered "still running, retry"
+    for ten minutes.
     """
     made = make_core()
 
-    def hear(spoken, heartbeat):
+    def gossip_from_peer(peer_state, heartbeat):
         member = gossip.Member(
-            "entry-2", "dc", "http://f", "f:1", "", 7, heartbeat, spoken, 0
+            "entry-2", "dc", "http://f", "f:1", "", 7, heartbeat, peer_state, 0
         )
         message = gossip.GossipMessage("entry-2", "dc", members=(member,))
         return gossip.GossipReceived("round", message)
 
-    made.step(START, [hear(events.HostState.LIVE, 1), hear(state, 2)])
+    made.step(
+        START, [gossip_from_peer(events.HostState.LIVE, 1), gossip_from_peer(state, 2)]
+    )
     repeat = arrival("repeat", START, 30, "key", events.KeyKind.CALLER)
     made.step(START, [repeat])
     claim = events.Claim(
         "entry-2", 7, "nonce", "fingerprint", events.ClaimState.RUNNING, START
     )
     found = made.step(START, [events.ClaimFound("repeat", 3, claim)])
-    (refused,) = about("repeat", found)
+    (refused,) = commands_for("repeat", found)
     assert (refused.code, refused.outcome) == (code, commands.Outcome.UNKNOWN)
 
 
-def test_a_call_that_crashes_its_service_is_refused_at_the_fourth_time():
-    """A repeated call takes a service down each time that it is back."""
+def test_a_call_that_crashes_its_service_three_times_is_refused():
+    """Guards against a repeated call that crashes its service after each restart."""
     made = make_core()
     second = datetime.timedelta(seconds=1)
     now = START
     for number in range(3):
         now += second
-        (sent,) = about(f"r{number}", made.step(now, [arrival(f"r{number}", now, 30)]))
+        (sent,) = commands_for(
+            f"r{number}", made.step(now, [arrival(f"r{number}", now, 30)])
+        )
         ended = events.AttemptEnded(
             sent.request_id, sent.attempt, events.Ending.LINK_LOST
         )
@@ -133,6 +144,6 @@
         made.step(now, [crashes.LifeRefuses(life)])
         made.state.targets.get("hall-1").shunned_until = None
     now += second
-    (refused,) = about("last", made.step(now, [arrival("last", now, 30)]))
+    (refused,) = commands_for("last", made.step(now, [arrival("last", now, 30)]))
     assert refused.code is commands.Code.QUARANTINED
     assert refused.outcome is commands.Outcome.NOT_RUN
