--- a/packages/decide/sesamespindle/decide/placement.py
+++ b/packages/decide/sesamespindle/decide/placement.py
@@ -1,4 +1,8 @@
-"""Which target gets a request: the one with the least expected time to its answer."""
+"""Selects the target of a request by the expected value or delay of its answer.
+
+Prompts go to the engine with the least expected cost, in shares of an answer's
+value. Plain service calls go to the target with the least expected wait.
+"""
 
 import dataclasses
 import datetime
@@ -6,53 +10,59 @@
 
 from sesamespindle.decide import hashing
 
-# Prompt tokens that an engine reads in a second while it does nothing else; a
-# little under what the users state for theirs (61,200). Only ratios matter.
+# Prompt tokens that an otherwise idle engine prefills in a second; a little below
+# the stated rate of 61,200. Only ratios matter.
 PREFILL_TOKENS_PER_SECOND = 50_000.0
-# What one more request that waits or runs adds at an engine, in seconds: a
-# decode step of 3 to 4 ms and a part of a prompt.
+# Seconds that each request waiting or running at an engine adds to the expected time
+# to first token: a decode step of 3 to 4 ms and a share of a prefill.
 _LOAD_SECONDS = 0.004
-# An engine that turns all requests away while it loads counts as this wait.
+# Wait in seconds that is expected at an engine which is loading weights, as it
+# refuses all requests meanwhile.
 _SWITCHING_SECONDS = 3.0
-# What a late first token costs of an answer's worth; the users state 0.8 for
-# all their prompts. Estimates are off by half, so the loss begins at half of
-# the latency goal and is whole at one and a half.
+# Share of an answer's value that a late first token costs, 0.8 for all prompts.
+# Estimates of the time to first token are off by up to half. So the expected cost
+# rises linearly from 0 at 0.5 times the latency goal to this share at 1.5 times.
 _LATE_LOSS = 0.8
 _LATE_FROM, _LATE_AT = 0.5, 1.5
-# The loss for each second of waiting below that, so that the faster of two
-# timely engines is taken.
+# Cost of each expected second to the first token, so that the faster of two engines
+# is chosen where both meet the latency goal.
 _LOSS_PER_SECOND = 0.1
-# What reading a thousand tokens away from a context's home costs of an answer's
-# worth: the home may hold them already. A long context of 9,000 tokens loses
-# a little more by it than by a late first token, a short one much less.
+# Share of an answer's value that it costs to prefill 1,000 tokens at another engine
+# than the context's preferred one, which may hold them already. For a long context of
+# 9,000 tokens that is a little more than a late first token costs; for a short one it
+# is much less.
 _READ_AGAIN_LOSS = 0.12
-# An engine whose memory runs out throws a run out and reads its prompt again,
-# which is late then and paid twice. Memory is filled up to this part by what is
-# known of runs; the rest covers sends that peers have not told of yet.
+# An engine whose KV cache memory runs out preempts a run and recomputes its prompt:
+# the answer is late and its prefill is paid twice. So known runs may fill this share
+# of the memory; the rest covers prompts that peers sent and haven't announced yet.
 _MEMORY_FILLED = 0.85
 _MEMORY_LOSS = 0.6
-# How long a prompt may wait for memory where it is filled: until a run there
-# ends. Most were under it of those that began too late; the longest was 3.2 s.
+# How long a prompt may wait at an engine with full memory until a run there ends.
+# Most prompts that began too late had waited less than this; the longest observed
+# wait was 3.2 s.
 _MEMORY_SECONDS = 3.0
-# What a peer told of its sends counts for this long.
+# How long the pending work that a peer announced is counted.
 _PEER_WORK_KEPT = datetime.timedelta(seconds=1.5)
-# One failure in `n` costs about a whole second try.
+# Seconds that a failed call costs, about those of a whole second attempt; multiplied
+# by the target's failure rate.
 _FAILURE_SECONDS = 1.0
-# The price of leaving the data centre: about two crossings.
+# Seconds that a call to another data centre costs: about two crossings of the link.
 _CROSSING_SECONDS = 0.003
+# Service time that is assumed until one has been observed at a target.
 _USUAL_SERVICE_SECONDS = 0.04
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Effort:
-    """What a prompt costs at one engine.
+    """What one engine has to do before a prompt's first token.
 
     Attributes
     ----------
     read_tokens : int
-        Tokens that the engine is expected to read.
+        Tokens that the engine is expected to prefill.
     transfer_seconds : float
-        The expected time to bring the rest from stores.
+        The expected time to import the KV cache of the other tokens that the engine
+        doesn't hold, from stores or from another engine.
     """
 
     read_tokens: int
@@ -61,18 +71,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Work:
-    """What placing needs to know of a prompt.
+    """What the choice of an engine needs to know of a prompt.
 
     Attributes
     ----------
     held_tokens : int
-        Tokens of memory that it needs until it ends.
+        Tokens of KV cache memory that the prompt needs until its run ends.
     capacity : int
-        Tokens that an engine's memory holds.
+        Tokens that an engine's KV cache memory holds.
     goal_seconds : float
-        The time to first token within which an answer is worth all it can be.
+        The latency goal: the time to first token within which an answer has its
+        full value. With 0 or less, lateness costs nothing.
     effort_at : callable
-        Returns the `Effort` at an engine.
+        Takes a `world.TargetRow` and returns the `Effort` at that engine.
     """
 
     held_tokens: int
@@ -83,14 +94,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pending:
-    """What known requests take of an engine.
+    """Work of an engine that this daemon and its peers have sent there.
 
     Attributes
     ----------
     tokens : int
-        Prompt tokens of those that were not seen to begin.
+        Prompt tokens of the requests whose first token hasn't come.
     held_tokens : int
-        Tokens of memory that all need until they end.
+        Tokens of KV cache memory that all the requests need until they end.
     """
 
     tokens: int
@@ -98,42 +109,64 @@
 
 
 def usable(rows, now):
-    """Return the rows that may get new work, missing ones only if no other may."""
+    """Return the targets that may get new work.
+
+    Targets that are missing from the platform's list are returned only if there
+    are no others.
+    """
     candidates = [row for row in rows if row.usable(now)]
     listed = [row for row in candidates if row.missing_since is None]
     return listed or candidates
 
 
 def home(rows, affinity):
-    """Return the row where a context belongs, the same on every entry host."""
+    """Return the preferred engine of a context, or None if `rows` is empty.
+
+    Every entry host with the same rows gets the same engine, by rendezvous hashing.
+
+    Parameters
+    ----------
+    rows : list of world.TargetRow
+        The engines of a service.
+    affinity : str
+        The key of the context.
+    """
     row_by_name = {row.name: row for row in rows}
     name = hashing.first(affinity, row_by_name)
     return row_by_name.get(name)
 
 
 def ranked(rows, key):
-    """Return rows in the order in which a key's requests prefer them.
+    """Return targets in the order of their rendezvous weight for a key.
 
-    Guards against hosts that all take the same one of many equal engines: the first
-    of the list, where a context's home is away.
+    Guards against all hosts choosing the same one of many equal engines: while a
+    context's preferred engine is unavailable, they would all take the first in the
+    list, which gets far more prompts than the others. With an order that depends on
+    the key, different contexts spread over all engines.
     """
     row_by_name = {row.name: row for row in rows}
     return [row_by_name[name] for name in hashing.rank(key, row_by_name)]
 
 
 def choose_engine(rows, work, now, loss_of, home_row=None):
-    """Return the engine at which a prompt's answer is expected to be worth most.
+    """Return the engine with the least expected cost, or None if `rows` is empty.
+
+    The cost is in shares of the answer's value. It adds up superseded weights,
+    lateness, failures, full memory, and a prefill away from the preferred engine.
 
     Parameters
     ----------
     rows : list of world.TargetRow
-        Engines that may be used; the first of equal ones is taken.
+        Engines that may be used; the first of equal ones is chosen.
     work : Work
-        The request.
+        The prompt.
+    now : datetime.datetime
+        The current time.
     loss_of : callable
-        Returns the share of the run's worth that a row's old weights cost.
+        Takes a row and returns the share of the answer's value that is lost because
+        the engine runs superseded weights.
     home_row : world.TargetRow or None
-        Where prompts of this context usually go.
+        The preferred engine of the prompt's context.
     """
 
     def cost(row):
@@ -152,7 +185,7 @@
 
 
 def _expected_seconds(row, effort, waiting, now):
-    """Return the expected time to first token at an engine."""
+    """Return the expected seconds to a prompt's first token at an engine."""
     seconds = effort.read_tokens / PREFILL_TOKENS_PER_SECOND
     seconds += effort.transfer_seconds + _queue_seconds(row, waiting)
     if row.switching_until is not None and now < row.switching_until:
@@ -161,9 +194,10 @@
 
 
 def latest_begin(row, work, now):
-    """Return when a run at an engine is expected to have begun at the latest.
+    """Return the latest time at which a run at an engine is expected to begin.
 
-    The queue tells nothing of memory that is full, so the wait for it is added.
+    The length of the queue doesn't show that memory is full, so the wait for free
+    memory is added where the prompt would fill it.
     """
     waiting = pending(row, now)
     seconds = _expected_seconds(row, work.effort_at(row), waiting, now)
@@ -173,17 +207,17 @@
 
 
 def has_room(row, work, now):
-    """Return whether an engine's memory holds a prompt too, as far as is known."""
+    """Return whether an engine has free memory for a prompt, by what is known here."""
     return not _fills_memory(pending(row, now), work)
 
 
 def _fills_memory(waiting, work):
-    """Return whether a prompt would fill an engine's memory, as far as is known."""
+    """Return whether a prompt would exceed the share of memory that may be filled."""
     return waiting.held_tokens + work.held_tokens > _MEMORY_FILLED * work.capacity
 
 
 def _late_loss(seconds, goal_seconds):
-    """Return the share of the worth that is lost by lateness, as expected."""
+    """Return the expected cost of a late first token, as a share of the value."""
     if goal_seconds <= 0:
         return 0.0
     part = (seconds / goal_seconds - _LATE_FROM) / (_LATE_AT - _LATE_FROM)
@@ -191,7 +225,17 @@
 
 
 def choose_plain(rows, data_centre, now):
-    """Return the target of a plain service with the least expected wait."""
+    """Return the target of a plain service with the least expected wait, or None.
+
+    Parameters
+    ----------
+    rows : list of world.TargetRow
+        Targets that may be used.
+    data_centre : str
+        The data centre of this host; targets elsewhere cost a crossing.
+    now : datetime.datetime
+        The current time.
+    """
 
     def cost(row):
         service = _USUAL_SERVICE_SECONDS
@@ -207,10 +251,10 @@
 
 
 def pending(row, now):
-    """Return the `Pending` of an engine.
+    """Return the `Pending` work of an engine.
 
-    The engine's own count lags and misses what is on its way, so what this
-    daemon and its peers have sent is counted instead.
+    The load that the engine reports lags and leaves out requests on their way to
+    it. So the requests that this daemon and its peers have sent are counted instead.
     """
     tokens = held_tokens = 0
     for work in row.sent_by_request.values():
@@ -226,7 +270,7 @@
 
 
 def queue_seconds(row, now):
-    """Return the expected wait for what was sent before."""
+    """Return the expected wait in seconds for the requests sent before."""
     return _queue_seconds(row, pending(row, now))
 
 
--- a/packages/decide/sesamespindle/decide/promptplacing.py
+++ b/packages/decide/sesamespindle/decide/promptplacing.py
@@ -1,29 +1,38 @@
-"""Which engine gets a prompt, and what it fetches and saves."""
+"""Selects the engine of a prompt, and the KV cache that it fetches and saves.
+
+A prompt consists of parts. All but the last are segments that other prompts may share
+as a prefix; the last one is the prompt's own.
+"""
 
 import dataclasses
 
 from sesamespindle.decide import kvstores, placement, world
 
-# Engines that a prompt's choice is made among: the first in its context's rank, as long
-# as one of them has room. More would find a shorter queue, but news of queues is a
-# second old, and all hosts would find the same one.
+# Number of engines that are compared for a prompt: the first ones by the rendezvous
+# order of its context, as long as the one chosen has free memory. A comparison of more
+# engines would find a shorter queue, but what is known of queues is a second old, and
+# all hosts would choose the same engine.
 _CONSIDERED = 8
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Place:
-    """Where a prompt goes.
+    """The placement of a prompt.
 
     Attributes
     ----------
+    row : world.TargetRow
+        The engine.
     version : int
         The weight version that the engine is thought to run.
     salt : str
-        What its KV cache is kept under.
+        Keeps KV cache of other weights and isolated accounts apart, see `_salt`.
+    transfers : kvstores.Transfers
+        Where the engine fetches and saves the prompt's parts.
     read_tokens : int
-        Tokens that the engine is expected to read.
+        Tokens that the engine is expected to prefill.
     at_home : bool
-        Whether prompts of its context usually go there.
+        Whether the engine is the preferred one of the prompt's context.
     """
 
     row: world.TargetRow
@@ -35,16 +44,16 @@
 
 
 class PromptPlacing:
-    """Places prompts by what engines and stores hold.
+    """Selects engines by the KV cache that engines and stores hold.
 
     Parameters
     ----------
     state : world.World
         The shared tables.
     weights : weights.Weights
-        Which version of each model is named.
+        The announced weight version of each model.
     stores : kvstores.KvStores
-        What may be fetched.
+        The KV cache that may be fetched from stores.
     """
 
     def __init__(self, state, weights, stores):
@@ -53,11 +62,11 @@
         self._stores = stores
 
     def timely(self, flight, engines, rows, now):
-        """Return the engines at which a prompt can begin while their weights may.
+        """Return the engines at which a prompt can begin in time for their weights.
 
-        Guards against runs that begin on weights whose time is over: one is sent
-        in time and then waits at the engine. Where the expected wait goes beyond
-        the time, the engine counts as one whose time is over already.
+        Guards against runs that begin on superseded weights after the time allowed
+        for those: a prompt is sent in time and then waits too long at its engine. An
+        engine is left out if its expected wait already goes beyond that time.
         """
         model = flight.request.model
         if not any(self._weights.is_behind(row, model) for row in rows):
@@ -76,7 +85,19 @@
         return [row for row in rows if begins_in_time(row)]
 
     def choose(self, flight, engines, rows, now):
-        """Return the `Place` for a prompt at one of some engines, or None for none."""
+        """Return the `Place` for a prompt, or None if `rows` is empty.
+
+        Parameters
+        ----------
+        flight : flights.Flight
+            The prompt.
+        engines : routes.Engines
+            What the engines of its service have in common.
+        rows : list of world.TargetRow
+            The engines that may be used.
+        now : datetime.datetime
+            The current time.
+        """
         request = flight.request
         home = self._home(flight)
         work = self._work(flight, engines, home, now)
@@ -99,9 +120,10 @@
         return Place(row, version, salt, transfers, effort.read_tokens, row is home)
 
     def _considered(self, rows, model):
-        """Return the engines of a context's rank that are compared.
+        """Return the engines to compare, out of all in a context's rendezvous order.
 
-        While weights are replaced the first that have the new ones are among them.
+        If any of the first ones runs superseded weights, the first of the rest that
+        run the new weights are compared as well.
         """
         considered = rows[:_CONSIDERED]
         if not any(self._weights.is_behind(row, model) for row in considered):
@@ -112,7 +134,7 @@
         return considered + current[:_CONSIDERED]
 
     def _work(self, flight, engines, home, now):
-        """Return what `placement` needs to know of a prompt."""
+        """Return the `placement.Work` of a prompt."""
         sources = self._stores.sources(engines, now)
         return placement.Work(
             flight.request.held_tokens,
@@ -122,7 +144,7 @@
         )
 
     def _home(self, flight):
-        """Return the engine where prompts of a context usually go, or None."""
+        """Return the preferred engine of a prompt's context, or None."""
         affinity = flight.request.affinity
         if not affinity:
             return None
@@ -131,11 +153,12 @@
         return placement.home(staying, affinity)
 
     def _effort_at(self, flight, engines, row, home, sources):
-        """Return what the prompt is expected to cost at an engine.
+        """Return the `placement.Effort` of a prompt at an engine.
 
-        A part is there if this daemon had the engine read it lately, and can
-        be brought if a store or its home holds it; all after the first part
-        that is neither has to be read.
+        The engine holds a part if this daemon recently had it prefill that part. It
+        can import a part that a store or the preferred engine holds. KV cache is
+        reusable only as a prefix, so the engine prefills everything from the first
+        part on that it neither holds nor can import.
         """
         request = flight.request
         salt = _salt(flight, self._weights.running(row, request.model))
@@ -154,11 +177,11 @@
 
 
 def _salt(flight, version):
-    """Return what KV cache is kept under: the weights, and an isolated account.
+    """Return the salt of a prompt's KV cache: the weights, and an isolated account.
 
-    The engine refuses a request whose expected version isn't its own, so a
-    request can't read what other weights made, nor across accounts where one
-    of them is isolated.
+    The engine refuses a request whose expected version isn't its own. So a request
+    can't reuse KV cache that other weights computed, nor that of another account
+    where one of the two is isolated.
     """
     account = flight.account
     if account is not None and account.isolated:
--- a/tests/decide/test_placement.py
+++ b/tests/decide/test_placement.py
@@ -1,4 +1,4 @@
-"""Choosing a target by what its answer is expected to be worth."""
+"""Choosing a target by the expected cost of its answer."""
 
 import collections
 import datetime
@@ -41,10 +41,10 @@
 
 
 def test_leaves_a_home_that_would_be_late():
-    """One context is in great demand while other engines idle.
+    """Prompts of one context queue at its preferred engine while others idle.
 
-    Its home has a second of reading before it. What is lost by reading the
-    context elsewhere is less than what a late first token loses.
+    The preferred engine has more than a second of prefill to do first. To prefill
+    the context elsewhere costs less than a late first token.
     """
     busy = make_row("a", sent_by_request={"r": sent(60_000)})
     idle = make_row("b")
@@ -57,10 +57,11 @@
 
 
 def test_old_weights_on_time_beat_new_ones_too_late():
-    """New weights are named and two of five engines have them.
+    """New weights are announced and only two of five engines have loaded them.
 
-    All prompts went to those two and first tokens came a second late, while
-    three engines idled on weights that still earn most of the worth.
+    If all prompts went to those two, their first tokens would come a second late.
+    The other three engines would idle, though answers on the superseded weights
+    still have most of their value.
     """
     crowded = make_row("new", sent_by_request={"r": sent(60_000)})
     old = make_row("old")
@@ -71,7 +72,7 @@
 def test_does_not_fill_an_engines_memory():
     """An engine's memory runs out while its queue is short.
 
-    It would throw out a run and read its prompt again.
+    It would preempt a run and recompute its prompt.
     """
     full = make_row("a", peer_work_by_entry={"e": sent(0, 80_000)})
     assert choose([full, make_row("b")], home_row=full, held_tokens=12_000).name == "b"
@@ -90,9 +91,11 @@
 
 
 def test_contexts_whose_homes_are_away_spread_over_all_engines():
-    """Engines were away, and all hosts took the first of the others for their prompts.
+    """The preferred engines of some contexts are unavailable.
 
-    One engine got what a quarter of them had served, while others idled.
+    If all hosts took the first of the other engines, that one would get the prompts
+    of all the unavailable ones, observed at a quarter of the engines, while others
+    idled.
     """
     rows = [make_row(f"llm-{number}") for number in range(12)]
     chosen = collections.Counter(
