--- a/packages/decide/sesamespindle/decide/coldtargets.py
+++ b/packages/decide/sesamespindle/decide/coldtargets.py
@@ -78,7 +78,7 @@
             row.cold_sent_at = now
 
     def _is_doubted(self, row, cold_start, now):
-        """Return whether a target may have restarted, and be cold, unknown to this host.
+        """Return whether a target may have restarted cold, unknown to this host.
 
         Guards against all hosts sending to a target that has just restarted: it
         accepts requests again before its new record is known everywhere, and crashes
--- a/packages/decide/sesamespindle/decide/rollout.py
+++ b/packages/decide/sesamespindle/decide/rollout.py
@@ -1,30 +1,36 @@
-"""Bringing all engines to the named weight versions, a few at a time."""
+"""Rolls announced weight versions out to the engines, a few engines at a time.
+
+The host that holds the lease orders engines to load a version. An engine needs a load
+slot first, of which a service has a limited number, and keeps the slot until it has
+loaded the version. But if other engines wait and nothing shows that it loads, it loses
+the slot and is set aside: it waits for its next turn, and its report is still read.
+"""
 
 import dataclasses
 import datetime
 
 from sesamespindle.decide import commands, lives
 
-# Engines of a service that load weights at once. The users' loads slow down
-# beyond two fifths of the engines.
+# Share of a service's engines that load weights at once. Loads slow down when more
+# than two fifths of the engines load.
 _AT_ONCE_SHARE = 0.4
-# How often the state of an engine that has an order is read.
+# Interval between reads of the report of an engine with a load slot.
 _REPORT_INTERVAL = datetime.timedelta(milliseconds=200)
-# The same of an engine that gave its place up: it may be away for long, and each
+# The same for an engine that was set aside: it may be unavailable for long, and each
 # read is charged for.
 _ASIDE_INTERVAL = datetime.timedelta(milliseconds=600)
-# An order of which the engine shows nothing for this long is in doubt; the users'
-# engines show it in their reports within 0.2 s. An engine that answers no report
-# for as long makes room for others too.
+# An order is in doubt if the engine's reports show nothing of it for this long; engines
+# show an order within 0.2 s. An engine whose order is in doubt, or that answers no
+# report request for as long, yields its load slot to others.
 _ORDER_LOST_AFTER = datetime.timedelta(milliseconds=1200)
-# A load that was known to run keeps its place until nothing was seen of it for this
-# long, twenty reports: the engine may be cut off, and load on.
+# An engine that was known to load keeps its slot until nothing was seen of it for this
+# long, the time of twenty reports: it may be unreachable and still be loading.
 _STUCK_AFTER = datetime.timedelta(seconds=4)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadReport:
-    """Read what an engine says of its orders and versions."""
+    """Read an engine's report of its orders and versions."""
 
     target: str
     address: str
@@ -36,9 +42,19 @@
 
     Attributes
     ----------
+    target : str
+        The engine's name.
+    address : str
+        Its address.
+    model : str
+        The model.
+    version : int
+        The version to load.
+    epoch : int
+        The epoch of this host's lease.
     expected_orders : int
-        Orders that the engine must have taken before, so that an order which
-        arrives late or twice does nothing.
+        How many orders the engine must have accepted before. It refuses the order
+        otherwise, so an order that arrives late or twice has no effect.
     """
 
     target: str
@@ -51,12 +67,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OrderAccepted:
-    """An engine has said that it carries out an order.
+    """An engine has answered that it carries out an order.
 
     Attributes
     ----------
+    target : str
+        The engine's name.
     expected_orders : int
-        The order's, by which it is known again.
+        The value in the order, which identifies it.
     """
 
     target: str
@@ -65,16 +83,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reported:
-    """What an engine says of itself.
+    """An engine has answered with its report.
 
     Attributes
     ----------
+    target : str
+        The engine's name.
     orders : int
-        Orders that it has accepted since it started.
+        Number of orders that the engine has accepted since it started.
     busy : bool
-        Whether one is in progress.
+        Whether an order is in progress.
+    version_by_model : dict of str to int
+        The weight versions that it runs.
     born : int
-        When its life began, as in `lives.Life`.
+        The start of its incarnation, as in `lives.Life`.
     """
 
     target: str
@@ -86,27 +108,41 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReportMissing:
-    """An engine did not answer."""
+    """An engine didn't answer a request for its report."""
 
     target: str
 
 
 @dataclasses.dataclass(slots=True)
 class _Loading:
-    """An engine under way to a version.
+    """An engine that is to load a version.
 
     Attributes
     ----------
+    life : lives.Life
+        The engine's incarnation.
+    model, version : str, int
+        What it was last ordered to load, or is to be ordered to.
     placed_at : datetime.datetime or None
-        When it got the place that it has among those that load at once.
+        When the engine got its load slot; None without one.
+    asked_at : datetime.datetime or None
+        When its report was last requested.
     set_aside_at : datetime.datetime or None
-        When it last gave its place up.
+        When the engine last lost its slot.
     tried_at : datetime.datetime or None
-        When the order that is out was first given in this place.
+        When the latest order was first sent while the engine has this slot.
+        Repetitions of an order don't count.
+    ordered_at : datetime.datetime or None
+        When an order was last sent.
+    ordered_after : int
+        The `expected_orders` of that order.
     ready_after : int or None
-        Its count of orders, if it is to be ordered once the lease lets us.
+        The engine's count of orders, while an order waits until the lease permits it.
     running_at : datetime.datetime or None
-        When it was last known to load, if it wasn't known not to since.
+        When the engine was last known to load; None again once a report shows that it
+        doesn't, or once the engine is set aside.
+    doubt_noted : bool
+        Whether the event log has a note that the latest order is in doubt.
     """
 
     life: lives.Life
@@ -124,16 +160,16 @@
 
 
 class Rollout:
-    """Orders engines while this host holds the lease.
+    """Orders engines to load versions while this host holds the lease.
 
     Parameters
     ----------
     state : world.World
         The shared tables.
     weights : weights.Weights
-        What is to run.
+        The version that each model is to run.
     lease : lease.Lease
-        Whether this host may order.
+        Whether this host may send orders.
     """
 
     def __init__(self, state, weights, lease):
@@ -143,7 +179,7 @@
         self._loading_by_target = {}
 
     def tick(self, now):
-        """Begin loads, and follow those under way."""
+        """Start loads, and follow those in progress."""
         if not self._lease.is_held(now):
             self._loading_by_target.clear()
             return
@@ -156,11 +192,11 @@
         for model in self._weights.models():
             self._begin(model, now)
         if self._loading_by_target:
-            # While the lease is made to let us order, the reports are read.
+            # The reports are read while the lease is being made active for orders.
             self._lease.ask_to_act(now)
 
     def take(self, event, now):
-        """Take in one of this module's events; return whether it was one."""
+        """Process an event of this module; return False for any other event."""
         match event:
             case Reported():
                 self._reported(event, now)
@@ -179,7 +215,8 @@
         known = self._state.service_names
         for row in self._state.targets:
             if known and row.pool not in known:
-                # A record by another writer; its target would be asked for ever.
+                # Another writer made the record of this target. The configuration
+                # doesn't name its service, and its report would be read forever.
                 continue
             if model in row.version_by_model:
                 by_pool.setdefault(row.pool, []).append(row)
@@ -187,16 +224,18 @@
             self._give_places(rows, model, now)
 
     def _give_places(self, rows, model, now):
-        """Have engines of one service begin, as many at once as may load.
-
-        Guards against engines that get no order while others, which answer no
-        report or show nothing of their orders, hold all places: they were dropped
-        after seconds, and began again at once as the first in order (of five engines
-        the last had its first order 11.9 s after the naming; now all have one within
-        2.6 s where two show nothing). Such a place goes to an engine that waits,
-        first to one that wasn't tried. An order in
-        doubt may still be carried out, so one more engine may load at once then;
-        that slows the loads down, where the others would not have begun at all.
+        """Give load slots to waiting engines of one service, as many as may load.
+
+        Guards against engines that get no order while others hold all slots, which
+        answer no report request or show nothing of their orders: with slots that end
+        only after seconds and then go to the same engines first, the last of five
+        engines got its first order 11.9 s after the announcement. So such a slot goes
+        to an engine that waits, first to one that wasn't tried; then all five have an
+        order within 2.6 s where two show nothing.
+
+        An order in doubt may still be carried out, so one engine more than the share
+        may then load at once. That slows loads down, but otherwise the waiting engines
+        wouldn't have started at all.
         """
         most = max(1, int(len(rows) * _AT_ONCE_SHARE))
         known = [self._loading_by_target.get(row.name) for row in rows]
@@ -213,7 +252,11 @@
             self._place(row, model, now)
 
     def _waiting(self, rows, model):
-        """Return engines that are to load and have no place, in their turn."""
+        """Return the engines that wait for a load slot, in the order of their turns.
+
+        Untried engines go first, those with the fewest requests from here before the
+        others; then engines that were set aside, the earliest first.
+        """
         untried, aside = [], []
         for row in rows:
             if not _may_load(row) or not self._is_behind(row, model):
@@ -236,9 +279,9 @@
         self._ask(row, loading, now)
 
     def _set_aside(self, loading, now):
-        why = "no report"
+        why = "no report was received"
         if loading.running_at is not None:
-            why = "nothing seen of its load"
+            why = "its load is no longer reported"
         elif loading.tried_at is not None:
             why = "its order is in doubt"
         loading.placed_at, loading.set_aside_at = None, now
@@ -255,7 +298,7 @@
             self._ask(row, loading, now)
 
     def _note_doubt(self, loading, now):
-        """Tell once for an order that nothing is seen of it."""
+        """Note an order that is in doubt in the event log, once for each order."""
         if loading.ordered_at is None or loading.running_at or loading.doubt_noted:
             return
         if now - loading.ordered_at >= _ORDER_LOST_AFTER:
@@ -265,7 +308,7 @@
             self._state.emit(note)
 
     def _note_running(self, loading, now):
-        """Take in that an engine loads; it counts, also if it gave its place up."""
+        """Note that an engine loads; one that was set aside gets a slot again."""
         loading.running_at = now
         if loading.placed_at is None:
             loading.placed_at = now
@@ -278,7 +321,7 @@
     def _reported(self, event, now):
         row = self._state.target_in(lives.Life(event.target, event.born))
         if row is None:
-            # The report is of a life that is over, or not yet listed.
+            # The report is of an incarnation that has ended or isn't listed yet.
             return
         for model, version in event.version_by_model.items():
             row.learn_version(model, version)
@@ -304,10 +347,11 @@
     def _may_order(self, loading, event, now):
         """Return whether an order is due.
 
-        An order without an answer may have been taken and not show yet, or may
-        be carried out seconds later. It is given again with the same count of
-        earlier orders, so that at most one of them takes effect. So is one to a
-        version that was named since, without waiting.
+        The engine may have accepted an order whose answer is missing and not report
+        it yet, or may carry it out seconds later. The order is repeated with the same
+        count of earlier orders, so that at most one of them takes effect. If a newer
+        version was announced since, an order for that goes out in the same way, but
+        without a wait.
         """
         if loading.ordered_at is None or event.orders != loading.ordered_after:
             return True
@@ -342,17 +386,17 @@
         )
 
     def _is_over(self, row, loading, now):
-        """Return whether an engine needs no more looking after."""
+        """Return whether an engine needs no more orders or reports."""
         if not self._is_behind(row, loading.model):
             return True
         return not _may_load(row) and not _is_running(loading, now)
 
     def _is_behind(self, row, model):
-        """Return whether an engine's last sure version is older than the named.
+        """Return whether an engine's last known version is a superseded one.
 
-        Guards against an engine that is left behind: it refused a request, is then
-        thought to run the next version, which may be the named one, and would need
-        no order by that guess. Its report costs little and tells.
+        Guards against an engine that never gets an order: after it has refused a
+        request it is guessed to run the next version, which may be the announced one.
+        So guesses don't count here; the engine's report is cheap and shows its version.
         """
         return row.version_by_model.get(model, 1) < self._weights.named(model)
 
@@ -367,9 +411,9 @@
 
 
 def _is_fruitless(loading, now):
-    """Return whether nothing is known to come of the place that an engine has.
+    """Return whether an engine shows no progress in its load slot.
 
-    A load that is known to run keeps its place, for as long as word of it comes.
+    An engine that is known to load keeps its slot for as long as that is confirmed.
     """
     if loading.running_at is not None:
         return not _is_running(loading, now)
--- a/packages/decide/sesamespindle/decide/weights.py
+++ b/packages/decide/sesamespindle/decide/weights.py
@@ -1,29 +1,34 @@
-"""Which weight version of each model is to run, and which targets run it."""
+"""Tracks the weight version that each model is to run, and which targets run it.
+
+An operator announces a version of a model's weights on the platform; an announcement is
+called a naming here. Targets load the version a few at a time. Within a time allowed
+after the announcement, runs may still begin on the superseded weights.
+"""
 
 import dataclasses
 import datetime
 
 from sesamespindle.decide import commands, namings
 
-# Share of the time allowed for a new version after which nothing is begun on
-# an older one. What is left covers the way to the target, and that this host
-# learned of the version a little later than it was accepted.
+# Share of the time allowed after which no run is sent to superseded weights. The rest
+# covers the way to the target, and the delay until this host learned of the version
+# that the platform had accepted.
 _OLD_ALLOWED_SHARE = 0.8
-# Share of that time after which a run that still waits at a target is taken back.
-# What is left, 0.8 s of 8 s, covers a tick of 0.1 s, the way of the close to the
-# target, and that this host learned of the version a little late.
+# Share of the time allowed after which a run that still waits at a target is withdrawn.
+# The rest, 0.8 s of 8 s, covers a tick of 0.1 s, the way to the target of the closed
+# connection, and the delay until this host learned of the version.
 _BEGUN_SHARE = 0.9
-# For this long after newer weights are named a run on the older ones is worth
-# as much; the users count 1.5 s from when the name was accepted.
+# For this long after an announcement a run on the superseded weights keeps its full
+# value. Operators allow 1.5 s from when the platform accepted the announcement.
 _FREE_FOR = datetime.timedelta(seconds=1.3)
-# What such a run loses at once after that. It loses all of its worth at the
-# end of the time allowed.
+# Share of its value that such a run loses at once after that. The share rises linearly
+# to 1 at the end of the time allowed.
 _FIRST_LOSS = 0.2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VersionNamed:
-    """A weight version of a model has just been named, and is to run everywhere."""
+    """A weight version of a model has just been announced, for all targets."""
 
     model: str
     version: int
@@ -31,13 +36,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VersionFound:
-    """A version was found that is named already.
+    """A weight version was read that had been announced before.
 
     Attributes
     ----------
+    model : str
+        The model.
+    version : int
+        The announced version.
     not_named_at : datetime.datetime or None
-        The latest time at which it is known not to have been named; None if it may
-        have been named at any time.
+        The latest time at which the version is known not to have been announced;
+        None if it may have been announced at any time.
     """
 
     model: str
@@ -47,18 +56,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Replacement:
-    """What replaced a version first.
+    """The version that superseded another one first, and the deadlines from that.
 
     Attributes
     ----------
     version : int
         The newer version.
     at : datetime.datetime or None
-        When it was named; None if it may have been at any time.
+        When it was announced; None if that may have been at any time.
     send_until : datetime.datetime
-        When runs on the version that it replaced are sent no more.
+        From then on no run is sent to targets with the superseded version.
     begun_by : datetime.datetime
-        When they must have begun.
+        Runs on the superseded version that haven't begun by then are withdrawn.
     """
 
     version: int
@@ -67,29 +76,31 @@
     begun_by: datetime.datetime
 
     def describe_age(self, now):
-        """Return how long ago it was named, for the log."""
+        """Return how long ago the newer version was announced, for the log."""
         if self.at is None:
             return "an unknown time"
         return f"{(now - self.at) / datetime.timedelta(milliseconds=1):.0f} ms"
 
 
 class Weights:
-    """Keeps the named versions; they only rise.
+    """Keeps the announced version of each model, which only rises.
 
-    Guards against replaced weights that are young again for a host which missed the
-    naming: after a start or a pause it took versions for named when it read of them,
-    and sent prompts to weights that had been replaced 11 s before, where 8 s are
-    allowed. So a version's age counts from when a host heard it named, which peers
-    tell each other, and otherwise from a time before.
+    Guards against prompts on weights that were superseded too long ago, by a host that
+    missed the announcement: if a version's age counted from when a host reads of it
+    after a start or a pause, the host would send prompts to weights superseded 11 s
+    before, where 8 s are allowed. So the age counts from when any host received the
+    announcement, which hosts gossip. If none did, it counts from a time at which the
+    version hadn't been announced yet.
 
     Parameters
     ----------
     state : world.World
         The shared tables.
     in_force_within : datetime.timedelta
-        Time after which no run may begin on an older version.
+        The time allowed: how long after an announcement runs may begin on older
+        versions.
     contact_time : datetime.timedelta
-        How long a host that has started isn't held to such times.
+        How long a host that has just started is exempt from that bound.
     """
 
     def __init__(self, state, in_force_within, contact_time):
@@ -98,7 +109,7 @@
         self._contact_time = contact_time
 
     def take(self, event, now):
-        """Take in one of this module's events; return whether it was one."""
+        """Process an event of this module; return False for any other event."""
         match event:
             case VersionNamed(model, version):
                 replaces = self._before(model, version)
@@ -113,33 +124,39 @@
         return True
 
     def hear(self, told, now):
-        """Take in the `namings.Naming` records of a peer."""
+        """Merge the `namings.Naming` records that a peer has sent."""
         for naming in told:
             self._learn(naming, now)
 
     def tick(self, now):
-        """Tell peers no longer of versions whose time is over."""
+        """Stop the gossip about versions that were announced too long ago to matter."""
         told_for = self._in_force_within + self._contact_time
         self._state.namings.tell_after(now - told_for)
 
     def models(self):
-        """Return the models of which a version is named."""
+        """Return the models of which a version has been announced."""
         return self._state.namings.models()
 
     def named(self, model):
-        """Return the version that is to run; 1 until one is named."""
+        """Return the version that all targets are to run; 1 until one is announced."""
         return self._state.namings.newest(model)
 
     def running(self, row, model):
-        """Return the version that a target is thought to run."""
+        """Return the version that a target is thought to run, known or guessed."""
         return row.guessed_version or row.version_by_model.get(model, 1)
 
     def is_behind(self, row, model):
-        """Return whether a target still runs an older version."""
+        """Return whether a target is thought to run a superseded version."""
         return bool(model) and self.running(row, model) < self.named(model)
 
     def loss(self, row, model, now):
-        """Return the share of a run's worth that a target's old weights cost."""
+        """Return the cost of a target's superseded weights, as a share of the value.
+
+        Returns
+        -------
+        cost : float
+            From 0 for a run of full value to 1 for a run without value.
+        """
         replaced = self.replacement(self.running(row, model), model)
         if replaced is None:
             return 0.0
@@ -152,18 +169,18 @@
         return min(1.0, _FIRST_LOSS + (1.0 - _FIRST_LOSS) * part)
 
     def may_begin(self, row, model, now):
-        """Return whether a run may begin on what the target runs."""
+        """Return whether a run may still be sent to the version of a target."""
         replaced = self.replacement(self.running(row, model), model)
         return replaced is None or now < replaced.send_until
 
     def replacement(self, version, model):
         """Return the `Replacement` of a version, or None while it is the newest.
 
-        When it was replaced is unknown also where a version was named in between
-        that this host knows nothing of. Where nobody can tell, because all hosts
-        have started again, older weights are used as long as a host that has
-        started isn't held to bounds: targets are brought to the new ones meanwhile,
-        and callers would otherwise all be refused.
+        The time is unknown as well if another version was announced in between that
+        this host has no record of: that one superseded the version at an earlier
+        time. If no host knows a time, because all have restarted, the deadlines count
+        from the start of this process and allow for `contact_time`. Targets load the
+        new weights meanwhile; without that time all callers would be refused.
         """
         naming = self._state.namings.first_above(model, version)
         if naming is None:
@@ -182,11 +199,20 @@
         )
 
     def note_refused(self, row, model, refused):
-        """Take in that a target runs another version than was expected.
-
-        Its answer doesn't say which. It can only have moved on, so the next
-        one is tried, and the versions are gone through again from the one that
-        was last seen for sure.
+        """Guess the version of a target that refused a request for its version.
+
+        The answer doesn't say which version the target runs. It can only have moved
+        on, so the guess is the next one. After the newest version the guesses start
+        again from the version that the target was last known to run.
+
+        Parameters
+        ----------
+        row : world.TargetRow
+            The target.
+        model : str
+            The model.
+        refused : int
+            The version that the request expected.
         """
         if refused < self.named(model):
             row.guessed_version = refused + 1
@@ -194,12 +220,13 @@
             row.guessed_version = None
 
     def _before(self, model, version):
-        """Return the version that was in force when one was named.
+        """Return the version that was active when a given one was announced.
 
-        Guards against a version that seems to have replaced itself where a host
-        reads of it twice, by a peer and by its own watch: all hosts would then take
-        older weights for too old at once, and refuse what they could serve (in a
-        model of 12 hosts and a slow store, in 5 of 24 random plays).
+        Guards against a version that seems to supersede itself, when a host learns of
+        it twice, from a peer and by its own watch. All hosts would then consider the
+        older weights too old at once and refuse requests that they could serve, as
+        seen in 5 of 24 random simulations of 12 hosts and a slow store. Only lower
+        versions are considered, so a version is never its own predecessor.
         """
         return self._state.namings.newest_below(model, version)
 
@@ -212,7 +239,7 @@
 
 
 def _describe_age(naming, now):
-    """Return how long ago a version was named, for the log."""
+    """Return how long ago a version was announced, for the log."""
     if naming.at is None:
         return "named at a time that isn't known"
     seconds = (now - naming.at).total_seconds()
--- a/tests/decide/test_rollout.py
+++ b/tests/decide/test_rollout.py
@@ -1,4 +1,4 @@
-"""Bringing engines to a version, a few at a time."""
+"""Rolling a weight version out to engines, a few at a time."""
 
 import dataclasses
 import datetime
@@ -46,7 +46,7 @@
 
 @pytest.fixture
 def core():
-    """Give a gateway that holds the lease; its five engines are behind."""
+    """Return a gateway with the lease, and five engines with superseded weights."""
     made = made_core()
     made.step(NOW, [weights.VersionNamed("m", 2)])
     return made
@@ -75,10 +75,10 @@
 
 
 def test_an_order_without_an_answer_is_given_again_with_the_same_count(core):
-    """An order's answer is lost; it may be carried out seconds later.
+    """An order's answer is lost, and the order may be carried out seconds later.
 
-    The engine checks the count of earlier orders, so of both at most one takes
-    effect, whichever comes first.
+    The engine checks the count of earlier orders. So at most one of both orders takes
+    effect, whichever arrives first.
     """
     name = asked(core.step(NOW, [events.Tick()]))[0]
     (first,) = orders(core.step(NOW, [report(name)]))
@@ -111,10 +111,11 @@
 
 
 def test_an_idle_lease_is_made_active_while_reports_are_read():
-    """Weights are named while the holder has had nothing to do.
+    """Weights are announced while the holder's lease is idle.
 
-    Others may take an idle lease at any moment, so no order may go out before the
-    record says otherwise. The report that came meanwhile is not asked for again.
+    Other hosts may take an idle lease at any moment, so no order may go out before the
+    lease's record says that it is active. A report that arrives meanwhile isn't
+    requested again.
     """
     core = made_core()
     now = NOW + seconds(0.6)
@@ -142,12 +143,12 @@
 
 
 class Engines:
-    """The engines, which answer reports and carry orders out.
+    """Simulated engines, which answer report requests and carry orders out.
 
     Parameters
     ----------
     core : gateway.Gateway
-        Whose commands are carried out.
+        The gateway whose commands are carried out.
     """
 
     LOADING_SECONDS = 1.0
@@ -155,7 +156,7 @@
     def __init__(self, core):
         self.core = core
         self.at = 0.0
-        # Engines that answer no report, and those that lose their orders.
+        # Engines that answer no report request, and engines that lose their orders.
         self.silent = set()
         self.deaf = set()
         self.version_by_name = {}
@@ -167,7 +168,7 @@
         self.most_at_once = 0
 
     def run(self, until):
-        """Tick every tenth of a second."""
+        """Tick every 0.1 s until a time, in seconds."""
         while self.at < until:
             self.step(events.Tick())
             loading = [at for at in self.busy_until_by_name.values() if at > self.at]
@@ -175,7 +176,7 @@
             self.at = round(self.at + 0.1, 1)
 
     def step(self, event):
-        """Have the core take an event, and carry out what it commands."""
+        """Feed an event to the gateway, and carry out its commands."""
         now = NOW + seconds(self.at)
         for command in self.core.step(now, [event]):
             match command:
@@ -193,7 +194,7 @@
                         self.load(command)
 
     def load(self, order):
-        """Carry an order out, unless another was taken since it was given."""
+        """Carry an order out, unless another was accepted since it was sent."""
         count = self.count_by_name.get(order.target, 0)
         if order.expected_orders == count:
             self.count_by_name[order.target] = count + 1
@@ -209,28 +210,28 @@
         self.step(report(name, self.count_by_name.get(name, 0), busy, version))
 
     def first_order_by_name(self):
-        """Return when each engine got its first order."""
+        """Return when each engine was first sent an order, in seconds."""
         first = {}
         for at, order in self.orders:
             first.setdefault(order.target, at)
         return first
 
     def noted(self, kind):
-        """Return the engines that notes of a kind are about."""
+        """Return the engines that have notes of a kind in the event log."""
         return [subject for noted, subject in self.notes if noted == kind]
 
 
 @pytest.fixture
 def engines(core):
-    """Give five engines that are behind."""
+    """Return five engines with superseded weights."""
     return Engines(core)
 
 
 def test_engines_that_lose_their_orders_make_room_for_the_others(engines):
-    """The first engines show nothing of their orders, which come seconds late.
+    """The first engines show nothing of their orders, which arrive seconds late.
 
-    They held all places for 4 s, and were the first in order again after that: the
-    other three got their first order 8 to 12 s after the weights were named.
+    If they held all load slots for 4 s and came first again after that, the other three
+    would get their first order only 8 to 12 s after the announcement.
     """
     engines.deaf = {"llm-0", "llm-1"}
     engines.run(8)
@@ -255,9 +256,9 @@
 
 
 def test_an_engine_that_made_room_gets_its_turn_again(engines):
-    """Its order was lost, so it must get another one, with the same count.
+    """An engine's order was lost, so it must get another one, with the same count.
 
-    The first one may still be carried out. The engine takes one of both.
+    The first order may still be carried out. The engine accepts one of both.
     """
     engines.deaf = {"llm-0"}
     engines.run(4)
@@ -287,9 +288,9 @@
 
 
 def test_an_accepted_order_holds_its_place_without_reports(engines):
-    """An engine accepts its order and is cut off.
+    """An engine accepts its order and becomes unreachable.
 
-    It loads, so it counts, also while it can't say so.
+    It loads, so it has to keep its load slot though it can't report that.
     """
     engines.run(0.1)
     for _, order in engines.orders:
@@ -303,9 +304,10 @@
 
 
 def test_a_load_that_begins_late_takes_a_place(engines):
-    """An order is carried out after its engine gave its place up.
+    """An order is carried out after its engine has lost its load slot.
 
-    One more engine loads at once then. Nobody else begins until there is room.
+    One engine more than usual loads at once then. No other engine may start until a
+    slot is free.
     """
     engines.LOADING_SECONDS = 4.0
     engines.deaf = {"llm-0", "llm-1"}
@@ -343,10 +345,11 @@
 
 
 def test_a_guessed_version_is_no_reason_to_leave_an_engine_behind(core):
-    """An engine refused a request that expected the old weights.
+    """An engine refused a request that expected the superseded weights.
 
-    It is then thought to run the next version, which is the named one. It may have
-    refused for an order that was in progress, and wait for one for good.
+    It is then guessed to run the next version, which is the announced one. If it
+    refused for another reason, such as an order in progress, it would never get the
+    order that it needs.
     """
     row = core.state.targets.get("llm-0")
     core.weights.note_refused(row, "m", 1)
@@ -357,9 +360,10 @@
 
 
 def test_an_engine_that_starts_again_under_way_is_ordered_in_its_new_life():
-    """An engine crashes while it loads, and comes back with the weights of before.
+    """An engine crashes while it loads, and restarts with its earlier weights.
 
-    Its count of orders begins anew, so the order of its earlier life doesn't hold.
+    Its count of orders starts again at 0, so the order to its earlier incarnation
+    doesn't apply.
     """
     core = made_core()
     one = targetlist.ListedTarget(
@@ -389,10 +393,10 @@
 
 
 def test_an_order_in_doubt_gives_way_to_one_to_a_newer_version(engines):
-    """Newer weights are named while nothing is seen of an order.
+    """Newer weights are announced while engines show nothing of their orders.
 
-    The newer order has the same count, so the engine takes one of both; if it is
-    the older one, the next report shows that.
+    The newer order has the same count, so the engine accepts one of both. If that is
+    the older one, the next report shows it.
     """
     engines.deaf = {"llm-0", "llm-1"}
     engines.run(0.5)
@@ -405,9 +409,9 @@
 
 
 def test_a_place_is_kept_while_the_lease_is_not_yet_active():
-    """The store takes two seconds to say that orders may follow.
+    """The platform takes two seconds to confirm that the lease is active.
 
-    The engines have answered their reports, so nothing speaks against them.
+    The engines have answered with their reports, so they must keep their load slots.
     """
     core = made_core()
     now = NOW + seconds(0.6)
--- a/tests/decide/test_weights.py
+++ b/tests/decide/test_weights.py
@@ -1,4 +1,4 @@
-"""How long a weight version has been replaced, by what a host can know."""
+"""How long a weight version has been superseded, as far as a host can know."""
 
 import datetime
 
@@ -36,7 +36,7 @@
 
 
 def tell(teller, hearer, at):
-    """Have a host tell another what it heard named, over the wire."""
+    """Send a host's announced versions to another one, by the wire format."""
     teller.step(at, [events.Tick()])
     message = gossip.GossipMessage("entry-2", "dc-1", named=teller.state.namings.told)
     raw = peermessages.gossip_to_wire(message, 0, at).SerializeToString()
@@ -46,10 +46,10 @@
 
 
 def test_a_host_that_starts_learns_a_versions_age_from_peers():
-    """A host starts again 5 s after a version was named.
+    """A host restarts 5 s after a version was announced.
 
-    Its own reading can't tell when that was, but a peer that heard it can: runs
-    on the older weights may begin for 1.4 s more, and for no longer.
+    It can't find out by itself when that was, but a peer that received the
+    announcement knows: runs may begin on the older weights for 1.4 s more.
     """
     peer, started = make_core(), make_core()
     peer.step(NOW, [weights.VersionNamed("m", 2)])
@@ -87,10 +87,11 @@
 
 
 def test_a_time_before_a_naming_is_told_as_one():
-    """No host heard a version named, as all watches had just been cut.
+    """No host received an announcement as it was made, as all watches had broken.
 
-    Those that read of it know a time at which it was not named. Hosts that learn of
-    it by them alone would take it for one of any age, and refuse what may be served.
+    Hosts that read the version later know a time at which it wasn't announced yet.
+    Without that time their peers would consider the version of any age, and refuse
+    requests that they may serve.
     """
     reader, other = make_core(), make_core()
     later = NOW + 6 * SECOND
@@ -105,11 +106,11 @@
 
 
 def test_a_version_that_is_heard_of_twice_does_not_replace_itself():
-    """A host hears of a version by a peer, and then by its own watch.
+    """A host learns of a version from a peer, and then by its own watch.
 
-    It took the version for one that replaced itself, so for one whose forerunner
-    nobody told of, and had all hosts refuse prompts for engines of the version
-    before, from the naming until the engines had loaded.
+    If the version seemed to supersede itself, its predecessor would be unknown. All
+    hosts would then refuse prompts for engines with the version before, from the
+    announcement until the engines have loaded the new one.
     """
     first, second = make_core(), make_core()
     first.step(NOW, [weights.VersionNamed("m", 2)])
@@ -128,10 +129,10 @@
 
 
 def test_a_version_is_told_with_its_age_from_when_it_is_known():
-    """A peer asks between the naming and the next tick.
+    """A peer asks between an announcement and the next tick.
 
-    It learned of the change, not of its age, and took all older weights for too old
-    until the next round.
+    If it learned of the change but not of its age, it would consider all older
+    weights too old until the next gossip round.
     """
     core = make_core()
     core.step(NOW, [events.Tick()])
@@ -140,7 +141,10 @@
 
 
 def test_an_answer_that_lay_here_is_dated_from_its_question():
-    """A host is paused while a peer's answer is under way, and wakes 4 s later."""
+    """A host is paused while a peer's answer is in flight, and resumes 4 s later.
+
+    Ages in the answer count from when the host asked, so that they aren't too low.
+    """
     told = (namings.Naming("m", 2, 1, NOW, True),)
     message = gossip.GossipMessage("entry-2", "dc-1", named=told)
     raw = peermessages.gossip_to_wire(message, 0, NOW)
@@ -149,10 +153,11 @@
 
 
 def test_a_version_in_between_that_nobody_told_of_makes_older_weights_too_old():
-    """An engine runs version 1, version 3 is named, and version 2 was long before.
+    """An engine runs version 1; version 2 was announced long ago, version 3 just now.
 
-    A host that started in between hears of version 3 alone. Counted from that,
-    runs on version 1 went on, although version 2 had replaced it 20 s before.
+    A host that started in between receives only the announcement of version 3. If it
+    counted from that, runs would go on on version 1, which version 2 superseded 20 s
+    before.
     """
     core = make_core()
     core.step(NOW, [weights.VersionFound("m", 2, None)])
@@ -173,12 +178,12 @@
 
 
 def test_callers_are_not_all_refused_right_after_all_hosts_started():
-    """All hosts start again, and all engines run weights that were replaced.
+    """All hosts restart, and all engines run superseded weights.
 
-    Nobody knows for how long, so all prompts would be refused until the first
-    engine has the new weights, some tenths of a second after the lease is taken.
-    A host that has just started isn't held to the time for new weights; it uses
-    older ones for that while, after all that have the new ones.
+    No host knows for how long, so all prompts would be refused until the first engine
+    has loaded the new weights, some tenths of a second after a host takes the lease.
+    A host that has just started is exempt from the time allowed for a while, and
+    meanwhile prefers engines with the new weights.
     """
     core = make_core()
     core.step(NOW, [weights.VersionFound("m", 2, None)])
@@ -188,10 +193,10 @@
 
 
 def test_the_time_after_a_start_counts_from_the_start_of_the_process():
-    """All hosts start again on busy machines, where loading takes 1.6 s.
+    """All hosts restart on busy machines, where a process takes 1.6 s to load.
 
-    A host counted the time for which it isn't held to bounds from when it had
-    loaded, and sent prompts to replaced weights beyond it.
+    If the exempt time counted from the end of that, hosts would send prompts to
+    superseded weights for too long.
     """
     me = events.Host("entry-1", "entry", "dc-1", "10.0.0.1:80", "10.0.0.1:81")
     core = gateway.Gateway(
