--- a/packages/decide/sesamespindle/decide/contexts.py
+++ b/packages/decide/sesamespindle/decide/contexts.py
@@ -1,7 +1,7 @@
-"""Where the context of earlier prompts is likely to be.
+"""Tracks which targets are likely to hold the context of earlier prompts.
 
-A hint, never a proof: the target itself decides what it reuses, by the full
-chain of block ids.
+A context is identified by its chain of block ids, see `hashing.chain`. The tracking may
+be wrong without harm: the target itself decides what it reuses, by the full chain.
 """
 
 import collections
@@ -11,30 +11,50 @@
 from sesamespindle.decide import hashing
 
 MAX_CHECKPOINTS = 40_000
+# The most targets that are remembered for one checkpoint.
 _MAX_TARGETS = 3
+# A target that processed a context longer ago than this isn't expected to hold it.
 _TRUSTED_FOR = datetime.timedelta(minutes=30)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sighting:
-    """A target that had just processed a chain, and when."""
+    """A target has processed a chain of blocks.
+
+    Attributes
+    ----------
+    target : str
+        The target's name.
+    at : datetime.datetime
+        When it had just processed the chain.
+    """
 
     target: str
     at: datetime.datetime
 
 
 class Contexts:
-    """The latest targets that held a context, by the checkpoints of its chain.
+    """The targets that processed a context last, by the checkpoints of its chain.
 
-    All checkpoints of one chain share one sighting, and the least recently
-    used go when there are more than `MAX_CHECKPOINTS`.
+    All checkpoints of one chain share one sighting. With more than `MAX_CHECKPOINTS`
+    the least recently learned checkpoints are evicted.
     """
 
     def __init__(self):
         self._sightings_by_id = collections.OrderedDict()
 
     def learn(self, ids, target, now):
-        """Note that a target has just processed this chain."""
+        """Note that a target has just processed a chain.
+
+        Parameters
+        ----------
+        ids : tuple of str
+            The block ids of the chain, from `hashing.chain`.
+        target : str
+            The target's name.
+        now : datetime.datetime
+            The current time.
+        """
         by_id = self._sightings_by_id
         sighting = Sighting(target, now)
         for _, block_id in hashing.checkpoints(ids):
@@ -46,7 +66,20 @@
             by_id.popitem(last=False)
 
     def reusable_tokens(self, ids, now):
-        """Return the tokens that each target is expected to reuse, by target."""
+        """Return the tokens of a chain that targets are expected to reuse.
+
+        Parameters
+        ----------
+        ids : tuple of str
+            The block ids of the chain, from `hashing.chain`.
+        now : datetime.datetime
+            The current time.
+
+        Returns
+        -------
+        tokens_by_target : dict of str to int
+            The number of tokens for each target that is expected to reuse any.
+        """
         tokens_by_target = {}
         for position, block_id in hashing.checkpoints(ids):
             for item in self._sightings_by_id.get(bytes.fromhex(block_id), ()):
--- a/packages/decide/sesamespindle/decide/hashing.py
+++ b/packages/decide/sesamespindle/decide/hashing.py
@@ -1,8 +1,7 @@
-"""Rendezvous hashing, and the identity of blocks of context.
+"""Rendezvous hashing, and ids of the blocks of a context.
 
-Placement uses xxhash, which is fast. The identity of blocks uses a keyed
-BLAKE2b, because a collision there would show one client account the context
-of another.
+Rendezvous hashing uses xxhash, which is fast. Block ids use keyed BLAKE2b, as a
+collision of those would show one client account the context of another.
 """
 
 import hashlib
@@ -16,13 +15,21 @@
 
 
 def rank(key, names):
-    """Return the names in the order of their rendezvous weight for a key."""
+    """Return the names by falling rendezvous weight for a key.
+
+    Parameters
+    ----------
+    key : str
+        What is assigned to the names.
+    names : iterable of str
+        The names; their order makes no difference.
+    """
     seed = xxhash.xxh3_64_intdigest(key.encode())
     return sorted(names, key=lambda name: _weight(name, seed), reverse=True)
 
 
 def first(key, names):
-    """Return the name with the highest rendezvous weight, or None."""
+    """Return the name with the highest rendezvous weight for a key, or None."""
     seed = xxhash.xxh3_64_intdigest(key.encode())
     return max(names, key=lambda name: _weight(name, seed), default=None)
 
@@ -32,29 +39,36 @@
 
 
 def salt(account, model, version, adapter=""):
-    """Return the key that starts every chain of one account and weight version.
+    """Return the salt of all chains of one account, model, version and adapter.
+
+    The account and the weight version are part of the hash, so a block of another
+    account or version can't match, whatever the prompts contain.
 
-    Account and version are inside the hash, so a block of another account or
-    version can never match, whatever the prompts say.
+    Returns
+    -------
+    salt : bytes
+        The key of the first block's hash, 16 bytes.
     """
     text = "\0".join((account, model, version, adapter))
     return hashlib.blake2b(text.encode(), digest_size=_DIGEST_BYTES).digest()
 
 
 def chain(chain_salt, text):
-    """Return the ids of the full blocks of a prompt, each over all before it.
+    """Return the ids of the full blocks of a prompt.
+
+    Each id depends on its block and all blocks before it.
 
     Parameters
     ----------
     chain_salt : bytes
         From `salt`.
     text : str
-        The rendered prompt. A last block that isn't full has no id.
+        The rendered prompt. A last block that isn't full gets no id.
 
     Returns
     -------
     ids : tuple of str
-        One hexadecimal id for each `BLOCK_BYTES` of UTF-8.
+        One hexadecimal id for each `BLOCK_BYTES` bytes of UTF-8.
     """
     raw = text.encode()
     ids = []
@@ -67,10 +81,15 @@
 
 
 def checkpoints(ids):
-    """Return the few ids that stand for a chain: at 1, 2, 4, ... and the last.
+    """Return the ids of a chain at the positions 1, 2, 4, ... and at the last one.
+
+    A table by these checkpoints grows only with the logarithm of a context's length,
+    and still finds at least half of any shared prefix.
 
-    A table by checkpoint grows with the logarithm of a context's length, and
-    still finds at least half of any shared beginning.
+    Returns
+    -------
+    checkpoints : tuple of (int, str)
+        Each position, counted from 1, with its id.
     """
     positions = []
     position = 1
@@ -83,5 +102,5 @@
 
 
 def token_count(text):
-    """Return the number of tokens that a text counts for."""
+    """Return the number of tokens that a text is counted as, by its UTF-8 length."""
     return -(-len(text.encode()) // BYTES_PER_TOKEN)
--- a/packages/decide/sesamespindle/decide/routing.py
+++ b/packages/decide/sesamespindle/decide/routing.py
@@ -1,19 +1,29 @@
-"""Choosing the target of a prompt by its expected time to first token."""
+"""Selects the target of a prompt by the expected time to its first token.
+
+The preferred target of a context is found by rendezvous hashing, so every entry host
+finds the same one.
+"""
 
 import dataclasses
 import enum
 
 from sesamespindle.decide import hashing
 
+# Seconds on the way to a target in the same data centre, in another one of the same
+# region, and in another region; the index is `World.distance`.
 _SECONDS_BY_DISTANCE = (0.0, 0.002, 0.03)
-# A context's home target is kept unless another is better by this much, so
-# that every entry finds a returning context without having to ask.
+# A prompt goes to its context's preferred target unless another is faster by more than
+# these seconds plus this share of the prompt's prefill time. So every entry host finds
+# the context again when its next prompt arrives, without having to ask others.
 _HOME_ADVANTAGE_SECONDS = 0.05
 _HOME_ADVANTAGE_SHARE = 0.5
 
 
 class Routing(enum.StrEnum):
-    """Ways to choose a target; all but the first are there to be compared."""
+    """Ways to choose a target.
+
+    All but the first exist for comparison with it.
+    """
 
     EXPECTED_FIRST_TOKEN = "expected_first_token"
     ROUND_ROBIN = "round_robin"
@@ -23,7 +33,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Place:
-    """A target, and the seconds after which the first token is expected."""
+    """A possible target of a prompt.
+
+    Attributes
+    ----------
+    target : world.TargetRow
+        The target.
+    expected_seconds : float
+        The expected time to first token.
+    reused_tokens : int
+        Tokens of the prompt that the target is expected not to prefill again.
+    """
 
     target: object
     expected_seconds: float
@@ -35,13 +55,19 @@
 
     Parameters
     ----------
+    state : world.World
+        The shared tables.
     row : prompts.PromptRow
-        The prompt. Where it has a version, only targets of that weight
-        version are taken.
+        The prompt. If it has a weight version, targets that are known to run another
+        version are left out.
+    contexts : contexts.Contexts
+        Where the contexts of earlier prompts are expected.
+    now : datetime.datetime
+        The current time.
     avoid : collection of str
-        Names of targets that are taken only if there is no other.
+        Names of targets that are used only if there is no other.
     narrow : callable, optional
-        Returns those of some targets that may be taken.
+        Takes a list of targets and returns those that may be used.
     """
     usable = [
         target
@@ -77,7 +103,7 @@
 
 
 def _earliest(row, places, reused_by_target):
-    """Return the place with the earliest first token, or the context's home."""
+    """Return the fastest place, or the preferred one if it is fast enough."""
     best = min(places, key=lambda place: place.expected_seconds)
     home = _home(row, places, reused_by_target)
     compute_seconds = row.tokens / best.target.prefill_rate
@@ -88,7 +114,23 @@
 
 
 def choose_service(state, pool, now, avoid=(), narrow=None):
-    """Return the usable target of a service pool with the fewest calls."""
+    """Return the nearest usable target of a service pool, or None.
+
+    Of equally near targets it is the one with the fewest calls from this host.
+
+    Parameters
+    ----------
+    state : world.World
+        The shared tables.
+    pool : str
+        The pool's name.
+    now : datetime.datetime
+        The current time.
+    avoid : collection of str
+        Names of targets that are left out.
+    narrow : callable, optional
+        Takes a list of targets and returns those that may be used.
+    """
     candidates = [
         target
         for target in state.targets.where("pool", pool)
@@ -119,7 +161,10 @@
 
 
 def _home(row, places, reused_by_target):
-    """Return the place that every entry would pick for this context."""
+    """Return the preferred place of a context by rendezvous hashing.
+
+    None if some target is expected to reuse tokens, as the context is there already.
+    """
     if reused_by_target:
         return None
     place_by_name = {place.target.name: place for place in places}
