--- a/packages/decide/sesamespindle/decide/kvstores.py
+++ b/packages/decide/sesamespindle/decide/kvstores.py
@@ -15,32 +15,32 @@
 _SAVE_LOST_AFTER = datetime.timedelta(seconds=3)
 # A store that hasn't answered for this long isn't used: an engine that fetches from a
 # dead store waits for some hundred milliseconds.
-_SILENT_AFTER = datetime.timedelta(seconds=2.5)
+_UNAVAILABLE_AFTER = datetime.timedelta(seconds=2.5)
 # The same for a store that this host knows of by gossip alone: a follower gets an
 # answer of the store every 1.2 s, and four gossip rounds of 0.4 s propagate that
 # through a data centre of 40 hosts.
-_RELAYED_SILENT_AFTER = datetime.timedelta(seconds=4)
+_RELAYED_UNAVAILABLE_AFTER = datetime.timedelta(seconds=4)
 # Number of changed parts of a store that are kept for peers. A peer that lacks older
 # changes gets the whole list, which has some hundred parts.
-_KEPT_CHANGES = 400
+_MAX_KEPT_PARTS = 400
 # Share of a store's capacity that saves from here may fill. The rest covers saves that
 # other daemons have begun and that this one doesn't know of yet.
-_FILLED_SHARE = 0.94
+_FILL_SHARE = 0.94
 # A fetch times out after its expected time multiplied by this factor, plus a fixed
 # time, so that a link that has become slow costs less than a prefill of the prompt.
-_PATIENCE = 2.0
-_PATIENCE_FIXED = datetime.timedelta(milliseconds=120)
+_TIMEOUT_FACTOR = 2.0
+_TIMEOUT_BASE = datetime.timedelta(milliseconds=120)
 # Factor on the time of transfers between data centres, which takes twice as long.
 # Between regions it would take ten times as long.
-_CROSS_DATA_CENTRE = 2.0
+_CROSS_DATA_CENTRE_FACTOR = 2.0
 # Parts of superseded weights are freed this long after the last engine has moved on to
 # newer ones: no fetch of such a part begins after that, and a fetch ends within a
 # second.
-_FREED_AFTER = datetime.timedelta(seconds=2)
+_FREE_DELAY = datetime.timedelta(seconds=2)
 # A request to free parts is repeated after this, as the last one may have got lost.
-_FREE_AGAIN_AFTER = datetime.timedelta(seconds=2)
+_FREE_RETRY_DELAY = datetime.timedelta(seconds=2)
 # The most parts that one request frees.
-_FREED_AT_ONCE = 1000
+_MAX_FREED_AT_ONCE = 1000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -199,7 +199,7 @@
         The latest changes without a gap, for peers that lack some of them.
     heard_at : datetime.datetime or None
         When the store last answered; None if it doesn't answer.
-    told_at : datetime.datetime or None
+    status_at : datetime.datetime or None
         When this host or a peer last found out whether the store answers.
     clock_lead : float or None
         Milliseconds by which the engines' clock is ahead of this host's.
@@ -216,50 +216,50 @@
     position: int = 0
     changes: list = dataclasses.field(default_factory=list)
     heard_at: datetime.datetime | None = None
-    told_at: datetime.datetime | None = None
+    status_at: datetime.datetime | None = None
     clock_lead: float | None = None
     is_followed: bool = True
 
-    def alive(self, now):
+    def is_available(self, now):
         """Return whether the store answered recently enough to be used."""
-        limit = _SILENT_AFTER if self.is_followed else _RELAYED_SILENT_AFTER
+        limit = _UNAVAILABLE_AFTER if self.is_followed else _RELAYED_UNAVAILABLE_AFTER
         return self.heard_at is not None and now - self.heard_at < limit
 
-    def note_word(self, told_at, is_silent, clock_lead):
+    def note_status(self, status_at, is_silent, clock_lead):
         """Note that the store answered at a time, or didn't answer then.
 
         Parameters
         ----------
-        told_at : datetime.datetime
+        status_at : datetime.datetime
             The time.
         is_silent : bool
             Whether the store didn't answer.
         clock_lead : float or None
             The engines' clock, as in the attribute; None to keep what is known.
         """
-        self.told_at = told_at
-        self.heard_at = None if is_silent else told_at
+        self.status_at = status_at
+        self.heard_at = None if is_silent else status_at
         if clock_lead is not None:
             self.clock_lead = clock_lead
 
-    def apply(self, told):
+    def apply(self, update):
         """Apply a whole list or changes that are no older than what is known.
 
         Parameters
         ----------
-        told : StoreChanged or gossip.StoreNews
+        update : StoreChanged or gossip.StoreNews
             From the store itself or from a peer.
         """
-        if told.boot != self.boot or told.whole_list:
+        if update.boot != self.boot or update.whole_list:
             # A restarted store holds nothing of what it held before.
-            self.boot = told.boot
+            self.boot = update.boot
             self.tokens_by_part.clear()
             self.used = 0
             self.changes.clear()
         else:
-            self._keep_changes(told)
-        self.position = told.position
-        for part in told.parts:
+            self._keep_changes(update)
+        self.position = update.position
+        for part in update.parts:
             key = part.salt, part.part_id
             self.saving_by_part.pop(key, None)
             self.used -= self.tokens_by_part.pop(key, 0)
@@ -285,21 +285,21 @@
             for (salt, part_id), tokens in self.tokens_by_part.items()
         )
 
-    def _keep_changes(self, told):
-        if told.position <= self.position:
+    def _keep_changes(self, update):
+        if update.position <= self.position:
             return
-        self.changes.append(Changes(told.since, told.position, told.parts))
+        self.changes.append(Changes(update.since, update.position, update.parts))
         kept = sum(len(change.parts) for change in self.changes)
-        while kept > _KEPT_CHANGES:
+        while kept > _MAX_KEPT_PARTS:
             kept -= len(self.changes.pop(0).parts)
 
-    def has_room(self, tokens):
+    def has_free_capacity(self, tokens):
         """Return whether a part of so many tokens may be saved here."""
         saving = sum(count for count, _ in self.saving_by_part.values())
-        return self.used + saving + tokens <= self.store.capacity * _FILLED_SHARE
+        return self.used + saving + tokens <= self.store.capacity * _FILL_SHARE
 
 
-class Sources:
+class ImportTimes:
     """Expected times to import prompt parts from stores, each calculated once.
 
     Parameters
@@ -313,7 +313,7 @@
     def __init__(self, engines, rows):
         self._engines = engines
         self._rows = rows
-        self._seconds_by_need = {}
+        self._seconds_by_key = {}
 
     def seconds(self, salt, part, near):
         """Return the expected seconds to import a part, or None if no store has it.
@@ -327,10 +327,10 @@
         near : str
             The data centre of the engine.
         """
-        need = salt, part.part_id, near
-        if need not in self._seconds_by_need:
-            self._seconds_by_need[need] = self._look_up(salt, part, near)
-        return self._seconds_by_need[need]
+        import_key = salt, part.part_id, near
+        if import_key not in self._seconds_by_key:
+            self._seconds_by_key[import_key] = self._look_up(salt, part, near)
+        return self._seconds_by_key[import_key]
 
     def _look_up(self, salt, part, near):
         holder = _holder(self._rows, salt, part, near)
@@ -399,8 +399,8 @@
         self._state = state
         self.rows: tables.Table[StoreRow] = tables.Table("name")
         self.relay = storerelay.StoreRelay(state, self)
-        self._old_salts_since = {}
-        self._free_asked_at = {}
+        self._unused_since_by_store = {}
+        self._free_requested_at_by_store = {}
 
     def adopt(self, configuration):
         """Take over the stores of a configuration.
@@ -427,23 +427,23 @@
         """Process an event of this module; return False for any other event."""
         match event:
             case StoreChanged():
-                self._change(event, now)
+                self._apply_change(event, now)
             case StoreHeard():
                 row = self.rows.get(event.store)
                 if row is not None and row.heard_at is not None:
-                    row.note_word(now, False, None)
+                    row.note_status(now, False, None)
             case StoreSilent():
                 row = self.rows.get(event.store)
                 if row is not None and row.heard_at is not None:
-                    row.note_word(now, True, None)
+                    row.note_status(now, True, None)
                     self._state.emit(commands.Note("kv_store_silent", row.name))
             case PartsFreed():
-                self._forget(event)
+                self._remove_freed(event)
             case _:
                 return False
         return True
 
-    def _forget(self, event):
+    def _remove_freed(self, event):
         """Remove freed parts, as the store's own event about them may get lost."""
         row = self.rows.get(event.store)
         if row is None or row.boot != event.boot:
@@ -451,7 +451,7 @@
         for key in event.parts:
             row.used -= row.tokens_by_part.pop(key, 0)
 
-    def _change(self, event, now):
+    def _apply_change(self, event, now):
         row = self.rows.get(event.store)
         if row is None:
             return
@@ -460,13 +460,13 @@
         clock_lead = None
         if event.clock_ms is not None:
             clock_lead = event.clock_ms - now.timestamp() * 1000.0
-        row.note_word(now, False, clock_lead)
+        row.note_status(now, False, clock_lead)
         is_known = event.boot == row.boot and 0 < event.position < row.position
         if not is_known:
             # Otherwise peers sent later changes while the request was in flight.
             row.apply(event)
 
-    def plan(self, engines, engine_row, home_row, salt, parts, now):
+    def plan(self, engines, engine_row, preferred_row, salt, parts, now):
         """Return the `Transfers` for a prompt's shared parts at an engine.
 
         A part that no store holds is fetched from the context's preferred engine, if
@@ -479,7 +479,7 @@
             The engine's service.
         engine_row : world.TargetRow
             The engine.
-        home_row : world.TargetRow or None
+        preferred_row : world.TargetRow or None
             The preferred engine of the prompt's context.
         salt : str
             What the engine stores the parts under.
@@ -491,7 +491,7 @@
         """
         if len(parts) < 2:
             return NO_TRANSFERS
-        rows = self._alive_rows(now)
+        rows = self._available_rows(now)
         near = engine_row.data_centre
         fetch_from, save_to, seconds = [], [], 0.0
         for part in parts[:-1]:
@@ -501,21 +501,23 @@
                 save_to.append(None)
                 seconds += _transfer_seconds(engines, holder.store, part.tokens, near)
                 continue
-            save_to.append(self._save(rows, salt, part, near, now))
-            if home_row is None or home_row is engine_row:
+            save_to.append(self._plan_save(rows, salt, part, near, now))
+            if preferred_row is None or preferred_row is engine_row:
                 fetch_from.append(None)
                 continue
-            fetch_from.append(home_row.url)
-            seconds += engine_seconds(engines, home_row, engine_row, part.tokens)
-        until = _until(rows, now, seconds) if seconds else None
+            fetch_from.append(preferred_row.url)
+            seconds += engine_transfer_seconds(
+                engines, preferred_row, engine_row, part.tokens
+            )
+        until = _fetch_deadline_ms(rows, now, seconds) if seconds else None
         return Transfers((*fetch_from, None), (*save_to, None), seconds, until)
 
-    def sources(self, engines, now):
-        """Return the `Sources` for a comparison of a service's engines."""
-        return Sources(engines, self._alive_rows(now))
+    def import_times(self, engines, now):
+        """Return the `ImportTimes` for a comparison of a service's engines."""
+        return ImportTimes(engines, self._available_rows(now))
 
-    def _alive_rows(self, now):
-        return [row for row in self.rows if row.store.managed and row.alive(now)]
+    def _available_rows(self, now):
+        return [row for row in self.rows if row.store.managed and row.is_available(now)]
 
     def free_replaced(self, kept_salts, now):
         """Request that stores free the parts of weights that no engine runs.
@@ -528,30 +530,30 @@
             The current time.
         """
         for row in self.rows:
-            if not row.store.managed or not row.alive(now):
+            if not row.store.managed or not row.is_available(now):
                 continue
-            old = [key for key in row.tokens_by_part if not kept_salts(key[0])]
-            if not old:
-                self._old_salts_since.pop(row.name, None)
+            unused = [key for key in row.tokens_by_part if not kept_salts(key[0])]
+            if not unused:
+                self._unused_since_by_store.pop(row.name, None)
                 continue
-            since = self._old_salts_since.setdefault(row.name, now)
-            asked_at = self._free_asked_at.get(row.name)
-            if asked_at is not None and now - asked_at < _FREE_AGAIN_AFTER:
+            since = self._unused_since_by_store.setdefault(row.name, now)
+            requested_at = self._free_requested_at_by_store.get(row.name)
+            if requested_at is not None and now - requested_at < _FREE_RETRY_DELAY:
                 continue
-            if now - since >= _FREED_AFTER:
-                self._free_asked_at[row.name] = now
-                until = _clock_ms(row, now + _FREED_AFTER)
+            if now - since >= _FREE_DELAY:
+                self._free_requested_at_by_store[row.name] = now
+                until = _clock_ms(row, now + _FREE_DELAY)
                 self._state.emit(
                     FreeParts(
                         row.name,
                         row.store.address,
                         row.boot,
-                        tuple(old[:_FREED_AT_ONCE]),
+                        tuple(unused[:_MAX_FREED_AT_ONCE]),
                         until,
                     )
                 )
 
-    def _save(self, rows, salt, part, near, now):
+    def _plan_save(self, rows, salt, part, near, now):
         """Return the address of the store to save a part to, or None.
 
         The save is noted, so that later prompts neither save the part again nor take
@@ -564,9 +566,9 @@
                 return None
         for row in rows:
             row.saving_by_part.pop(key, None)
-        chosen = [row for row in rows if row.has_room(part.tokens)]
-        local = [row for row in chosen if row.store.data_centre == near]
-        row_by_name = {row.name: row for row in local or chosen}
+        fitting = [row for row in rows if row.has_free_capacity(part.tokens)]
+        local = [row for row in fitting if row.store.data_centre == near]
+        row_by_name = {row.name: row for row in local or fitting}
         name = hashing.first(part.part_id, row_by_name)
         if name is None:
             return None
@@ -589,11 +591,11 @@
     rate = min(engines.link_bits_per_second, store.link_bits_per_second)
     seconds = tokens * engines.kv_token_bytes * 8.0 / rate
     if store.data_centre != data_centre:
-        seconds *= _CROSS_DATA_CENTRE
+        seconds *= _CROSS_DATA_CENTRE_FACTOR
     return seconds + store.first_byte.total_seconds()
 
 
-def engine_seconds(engines, source_row, engine_row, tokens):
+def engine_transfer_seconds(engines, source_row, engine_row, tokens):
     """Return the expected seconds to import KV cache from another engine.
 
     Parameters
@@ -607,16 +609,16 @@
     """
     seconds = tokens * engines.kv_token_bytes * 8.0 / engines.link_bits_per_second
     if source_row.data_centre != engine_row.data_centre:
-        seconds *= _CROSS_DATA_CENTRE
+        seconds *= _CROSS_DATA_CENTRE_FACTOR
     return seconds
 
 
-def _until(rows, now, seconds):
-    patience = datetime.timedelta(seconds=seconds) * _PATIENCE + _PATIENCE_FIXED
+def _fetch_deadline_ms(rows, now, seconds):
+    timeout = datetime.timedelta(seconds=seconds) * _TIMEOUT_FACTOR + _TIMEOUT_BASE
     known = [row for row in rows if row.clock_lead is not None]
     if not known:
         return None
-    return max(_clock_ms(row, now + patience) for row in known)
+    return max(_clock_ms(row, now + timeout) for row in known)
 
 
 def _clock_ms(row, at):
--- a/packages/decide/sesamespindle/decide/namings.py
+++ b/packages/decide/sesamespindle/decide/namings.py
@@ -9,7 +9,7 @@
 
 # Number of versions of a model that are kept. More than two are in use at once only if
 # versions are announced faster than targets load them.
-_KEPT = 8
+_MAX_VERSIONS = 8
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -45,7 +45,7 @@
 
     def __init__(self):
         self._naming_by_version_by_model = {}
-        self._told_after = None
+        self._gossiped_after = None
 
     def learn(self, naming):
         """Merge a `Naming`, and return the merged record of its version."""
@@ -53,13 +53,13 @@
         known = by_version.get(naming.version)
         merged = _merge(known, naming) if known is not None else naming
         by_version[naming.version] = merged
-        for version in sorted(by_version)[:-_KEPT]:
+        for version in sorted(by_version)[:-_MAX_VERSIONS]:
             del by_version[version]
         return merged
 
-    def tell_after(self, time):
+    def gossip_only_after(self, time):
         """Limit `told` to versions that were announced after a time."""
-        self._told_after = time
+        self._gossiped_after = time
 
     @property
     def told(self):
@@ -74,11 +74,11 @@
             naming
             for by_version in self._naming_by_version_by_model.values()
             for naming in by_version.values()
-            if naming.at is not None and self._is_told(naming.at)
+            if naming.at is not None and self._is_gossiped(naming.at)
         )
 
-    def _is_told(self, at):
-        return self._told_after is None or at > self._told_after
+    def _is_gossiped(self, at):
+        return self._gossiped_after is None or at > self._gossiped_after
 
     def models(self):
         """Return the models of which a version has been announced."""
@@ -104,17 +104,17 @@
         return by_version.get(above)
 
 
-def _merge(known, heard):
+def _merge(known, other):
     """Return the merged record of two records of the same version.
 
     Of two hosts that received the announcement as it was made, the earlier time is
     nearer to the truth. Of two times at which it hadn't been made yet, the later is.
     """
-    if known.is_sure != heard.is_sure:
-        return known if known.is_sure else heard
-    replaces = max(known.replaces, heard.replaces)
+    if known.is_sure != other.is_sure:
+        return known if known.is_sure else other
+    replaces = max(known.replaces, other.replaces)
     if known.is_sure:
-        at = min(known.at, heard.at)
+        at = min(known.at, other.at)
     else:
-        at = max((item.at for item in (known, heard) if item.at), default=None)
+        at = max((item.at for item in (known, other) if item.at), default=None)
     return dataclasses.replace(known, replaces=replaces, at=at)
--- a/packages/decide/sesamespindle/decide/placement.py
+++ b/packages/decide/sesamespindle/decide/placement.py
@@ -15,41 +15,41 @@
 PREFILL_TOKENS_PER_SECOND = 50_000.0
 # Seconds that each request waiting or running at an engine adds to the expected time
 # to first token: a decode step of 3 to 4 ms and a share of a prefill.
-_LOAD_SECONDS = 0.004
+_SECONDS_PER_REQUEST = 0.004
 # Wait in seconds that is expected at an engine which is loading weights, as it
 # refuses all requests meanwhile.
-_SWITCHING_SECONDS = 3.0
+_LOADING_WAIT_SECONDS = 3.0
 # Share of an answer's value that a late first token costs, 0.8 for all prompts.
 # Estimates of the time to first token are off by up to half. So the expected cost
 # rises linearly from 0 at 0.5 times the latency goal to this share at 1.5 times.
-_LATE_LOSS = 0.8
-_LATE_FROM, _LATE_AT = 0.5, 1.5
+_LATE_COST = 0.8
+_LATE_START, _LATE_END = 0.5, 1.5
 # Cost of each expected second to the first token, so that the faster of two engines
 # is chosen where both meet the latency goal.
-_LOSS_PER_SECOND = 0.1
+_COST_PER_SECOND = 0.1
 # Share of an answer's value that it costs to prefill 1,000 tokens at another engine
 # than the context's preferred one, which may hold them already. For a long context of
 # 9,000 tokens that is a little more than a late first token costs; for a short one it
 # is much less.
-_READ_AGAIN_LOSS = 0.12
+_RECOMPUTE_COST = 0.12
 # An engine whose KV cache memory runs out preempts a run and recomputes its prompt:
 # the answer is late and its prefill is paid twice. So known runs may fill this share
 # of the memory; the rest covers prompts that peers sent and haven't announced yet.
-_MEMORY_FILLED = 0.85
-_MEMORY_LOSS = 0.6
+_MEMORY_FILL_SHARE = 0.85
+_FULL_MEMORY_COST = 0.6
 # How long a prompt may wait at an engine with full memory until a run there ends.
 # Most prompts that began too late had waited less than this; the longest observed
 # wait was 3.2 s.
-_MEMORY_SECONDS = 3.0
+_MEMORY_WAIT_SECONDS = 3.0
 # How long the pending work that a peer announced is counted.
-_PEER_WORK_KEPT = datetime.timedelta(seconds=1.5)
+_PEER_WORK_LIFETIME = datetime.timedelta(seconds=1.5)
 # Seconds that a failed call costs, about those of a whole second attempt; multiplied
 # by the target's failure rate.
 _FAILURE_SECONDS = 1.0
 # Seconds that a call to another data centre costs: about two crossings of the link.
 _CROSSING_SECONDS = 0.003
 # Service time that is assumed until one has been observed at a target.
-_USUAL_SERVICE_SECONDS = 0.04
+_DEFAULT_SERVICE_SECONDS = 0.04
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -58,14 +58,14 @@
 
     Attributes
     ----------
-    read_tokens : int
+    prefill_tokens : int
         Tokens that the engine is expected to prefill.
     transfer_seconds : float
         The expected time to import the KV cache of the other tokens that the engine
         doesn't hold, from stores or from another engine.
     """
 
-    read_tokens: int
+    prefill_tokens: int
     transfer_seconds: float = 0.0
 
 
@@ -119,7 +119,7 @@
     return listed or candidates
 
 
-def home(rows, affinity):
+def preferred_engine(rows, affinity):
     """Return the preferred engine of a context, or None if `rows` is empty.
 
     Every entry host with the same rows gets the same engine, by rendezvous hashing.
@@ -148,7 +148,7 @@
     return [row_by_name[name] for name in hashing.rank(key, row_by_name)]
 
 
-def choose_engine(rows, work, now, loss_of, home_row=None):
+def choose_engine(rows, work, now, version_cost, preferred_row=None):
     """Return the engine with the least expected cost, or None if `rows` is empty.
 
     The cost is in shares of the answer's value. It adds up superseded weights,
@@ -162,10 +162,10 @@
         The prompt.
     now : datetime.datetime
         The current time.
-    loss_of : callable
+    version_cost : callable
         Takes a row and returns the share of the answer's value that is lost because
         the engine runs superseded weights.
-    home_row : world.TargetRow or None
+    preferred_row : world.TargetRow or None
         The preferred engine of the prompt's context.
     """
 
@@ -173,23 +173,23 @@
         effort = work.effort_at(row)
         waiting = pending(row, now)
         seconds = _expected_seconds(row, effort, waiting, now)
-        loss = loss_of(row) + _late_loss(seconds, work.goal_seconds)
-        loss += row.failure_rate + _LOSS_PER_SECOND * seconds
+        total = version_cost(row) + _late_cost(seconds, work.goal_seconds)
+        total += row.failure_rate + _COST_PER_SECOND * seconds
         if _fills_memory(waiting, work):
-            loss += _MEMORY_LOSS
-        if row is not home_row:
-            loss += _READ_AGAIN_LOSS * effort.read_tokens / 1000.0
-        return loss
+            total += _FULL_MEMORY_COST
+        if row is not preferred_row:
+            total += _RECOMPUTE_COST * effort.prefill_tokens / 1000.0
+        return total
 
     return min(rows, key=cost, default=None)
 
 
 def _expected_seconds(row, effort, waiting, now):
     """Return the expected seconds to a prompt's first token at an engine."""
-    seconds = effort.read_tokens / PREFILL_TOKENS_PER_SECOND
+    seconds = effort.prefill_tokens / PREFILL_TOKENS_PER_SECOND
     seconds += effort.transfer_seconds + _queue_seconds(row, waiting)
     if row.switching_until is not None and now < row.switching_until:
-        seconds += _SWITCHING_SECONDS
+        seconds += _LOADING_WAIT_SECONDS
     return seconds
 
 
@@ -202,26 +202,26 @@
     waiting = pending(row, now)
     seconds = _expected_seconds(row, work.effort_at(row), waiting, now)
     if _fills_memory(waiting, work):
-        seconds += _MEMORY_SECONDS
+        seconds += _MEMORY_WAIT_SECONDS
     return now + datetime.timedelta(seconds=seconds)
 
 
-def has_room(row, work, now):
+def has_free_memory(row, work, now):
     """Return whether an engine has free memory for a prompt, by what is known here."""
     return not _fills_memory(pending(row, now), work)
 
 
 def _fills_memory(waiting, work):
     """Return whether a prompt would exceed the share of memory that may be filled."""
-    return waiting.held_tokens + work.held_tokens > _MEMORY_FILLED * work.capacity
+    return waiting.held_tokens + work.held_tokens > _MEMORY_FILL_SHARE * work.capacity
 
 
-def _late_loss(seconds, goal_seconds):
+def _late_cost(seconds, goal_seconds):
     """Return the expected cost of a late first token, as a share of the value."""
     if goal_seconds <= 0:
         return 0.0
-    part = (seconds / goal_seconds - _LATE_FROM) / (_LATE_AT - _LATE_FROM)
-    return _LATE_LOSS * min(max(part, 0.0), 1.0)
+    share = (seconds / goal_seconds - _LATE_START) / (_LATE_END - _LATE_START)
+    return _LATE_COST * min(max(share, 0.0), 1.0)
 
 
 def choose_plain(rows, data_centre, now):
@@ -238,7 +238,7 @@
     """
 
     def cost(row):
-        service = _USUAL_SERVICE_SECONDS
+        service = _DEFAULT_SERVICE_SECONDS
         if row.service_time is not None:
             service = row.service_time.total_seconds()
         load = max(row.running_here, row.reported_load)
@@ -261,7 +261,7 @@
         tokens += work.tokens
     for held in row.held_by_request.values():
         held_tokens += held
-    oldest = now - _PEER_WORK_KEPT
+    oldest = now - _PEER_WORK_LIFETIME
     for work in row.peer_work_by_entry.values():
         if work.at > oldest:
             tokens += work.tokens
@@ -275,5 +275,5 @@
 
 
 def _queue_seconds(row, waiting):
-    read_seconds = waiting.tokens / PREFILL_TOKENS_PER_SECOND
-    return read_seconds + row.reported_load * _LOAD_SECONDS
+    prefill_seconds = waiting.tokens / PREFILL_TOKENS_PER_SECOND
+    return prefill_seconds + row.reported_load * _SECONDS_PER_REQUEST
--- a/packages/decide/sesamespindle/decide/promptplacing.py
+++ b/packages/decide/sesamespindle/decide/promptplacing.py
@@ -12,7 +12,7 @@
 # order of its context, as long as the one chosen has free memory. A comparison of more
 # engines would find a shorter queue, but what is known of queues is a second old, and
 # all hosts would choose the same engine.
-_CONSIDERED = 8
+_MAX_COMPARED = 8
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -71,16 +71,16 @@
         model = flight.request.model
         if not any(self._weights.is_behind(row, model) for row in rows):
             return rows
-        work = self._work(flight, engines, self._home(flight), now)
+        work = self._work(flight, engines, self._preferred_engine(flight), now)
 
         def begins_in_time(row):
             running = self._weights.running(row, model)
-            replaced = self._weights.replacement(running, model)
-            if replaced is None:
+            newer = self._weights.replacement(running, model)
+            if newer is None:
                 return True
-            if now >= replaced.send_until:
+            if now >= newer.send_until:
                 return False
-            return placement.latest_begin(row, work, now) <= replaced.begun_by
+            return placement.latest_begin(row, work, now) <= newer.begun_by
 
         return [row for row in rows if begins_in_time(row)]
 
@@ -99,60 +99,66 @@
             The current time.
         """
         request = flight.request
-        home = self._home(flight)
-        work = self._work(flight, engines, home, now)
+        preferred = self._preferred_engine(flight)
+        work = self._work(flight, engines, preferred, now)
 
-        def loss_of(row):
-            return self._weights.loss(row, request.model, now)
+        def version_cost(row):
+            return self._weights.cost(row, request.model, now)
 
         rows = placement.ranked(rows, request.affinity or request.request_id)
-        considered = self._considered(rows, request.model)
-        row = placement.choose_engine(considered, work, now, loss_of, home)
+        compared = self._compared(rows, request.model)
+        row = placement.choose_engine(compared, work, now, version_cost, preferred)
         if row is None:
             return None
-        if not placement.has_room(row, work, now):
-            row = placement.choose_engine(rows, work, now, loss_of, home)
+        if not placement.has_free_memory(row, work, now):
+            row = placement.choose_engine(rows, work, now, version_cost, preferred)
         version = self._weights.running(row, request.model)
         salt = _salt(flight, version)
         effort = work.effort_at(row)
-        transfers = self._stores.plan(engines, row, home, salt, request.prompt, now)
+        transfers = self._stores.plan(
+            engines, row, preferred, salt, request.prompt, now
+        )
         row.note_read(salt, request.prompt[:-1], engines.kv_capacity)
-        return Place(row, version, salt, transfers, effort.read_tokens, row is home)
+        return Place(
+            row, version, salt, transfers, effort.prefill_tokens, row is preferred
+        )
 
-    def _considered(self, rows, model):
+    def _compared(self, rows, model):
         """Return the engines to compare, out of all in a context's rendezvous order.
 
         If any of the first ones runs superseded weights, the first of the rest that
         run the new weights are compared as well.
         """
-        considered = rows[:_CONSIDERED]
-        if not any(self._weights.is_behind(row, model) for row in considered):
-            return considered
+        compared = rows[:_MAX_COMPARED]
+        if not any(self._weights.is_behind(row, model) for row in compared):
+            return compared
         current = [
-            row for row in rows[_CONSIDERED:] if not self._weights.is_behind(row, model)
+            row
+            for row in rows[_MAX_COMPARED:]
+            if not self._weights.is_behind(row, model)
         ]
-        return considered + current[:_CONSIDERED]
+        return compared + current[:_MAX_COMPARED]
 
-    def _work(self, flight, engines, home, now):
+    def _work(self, flight, engines, preferred, now):
         """Return the `placement.Work` of a prompt."""
-        sources = self._stores.sources(engines, now)
+        import_times = self._stores.import_times(engines, now)
         return placement.Work(
             flight.request.held_tokens,
             engines.kv_capacity,
             flight.route.latency_goal.total_seconds(),
-            lambda row: self._effort_at(flight, engines, row, home, sources),
+            lambda row: self._effort_at(flight, engines, row, preferred, import_times),
         )
 
-    def _home(self, flight):
+    def _preferred_engine(self, flight):
         """Return the preferred engine of a prompt's context, or None."""
         affinity = flight.request.affinity
         if not affinity:
             return None
         rows = self._state.targets.where("pool", flight.service)
         staying = [row for row in rows if row.stays]
-        return placement.home(staying, affinity)
+        return placement.preferred_engine(staying, affinity)
 
-    def _effort_at(self, flight, engines, row, home, sources):
+    def _effort_at(self, flight, engines, row, preferred, import_times):
         """Return the `placement.Effort` of a prompt at an engine.
 
         The engine holds a part if this daemon recently had it prefill that part. It
@@ -162,18 +168,24 @@
         """
         request = flight.request
         salt = _salt(flight, self._weights.running(row, request.model))
-        seconds, left = 0.0, request.prompt_tokens
+        seconds, uncached_tokens = 0.0, request.prompt_tokens
         for part in request.prompt[:-1]:
             key = salt, part.part_id
             if key not in row.read_parts:
-                brought = sources.seconds(salt, part, row.data_centre)
-                if brought is None and home is not None and key in home.read_parts:
-                    brought = kvstores.engine_seconds(engines, home, row, part.tokens)
-                if brought is None:
+                import_seconds = import_times.seconds(salt, part, row.data_centre)
+                if (
+                    import_seconds is None
+                    and preferred is not None
+                    and key in preferred.read_parts
+                ):
+                    import_seconds = kvstores.engine_transfer_seconds(
+                        engines, preferred, row, part.tokens
+                    )
+                if import_seconds is None:
                     break
-                seconds += brought
-            left -= part.tokens
-        return placement.Effort(left, seconds)
+                seconds += import_seconds
+            uncached_tokens -= part.tokens
+        return placement.Effort(uncached_tokens, seconds)
 
 
 def _salt(flight, version):
--- a/packages/decide/sesamespindle/decide/storerelay.py
+++ b/packages/decide/sesamespindle/decide/storerelay.py
@@ -51,31 +51,31 @@
         view = self._state.view, tuple(row.name for row in self._stores.rows)
         if view != self._view:
             self._view = view
-            self._choose()
+            self._choose_followers()
         return self._followed
 
-    def followers(self, places):
+    def followers(self, max_requests):
         """Return how many hosts follow a store.
 
         Parameters
         ----------
-        places : int
+        max_requests : int
             Requests for changes that the store holds at once.
         """
         entries = self._state.live_entries()
-        if len(entries) <= places:
+        if len(entries) <= max_requests:
             return len(entries)
         count = 0
         for name in {row.data_centre for row in entries}:
             count += min(FOLLOWERS, sum(row.data_centre == name for row in entries))
         return count
 
-    def words(self, theirs=()):
+    def words(self, their_words=()):
         """Return what this host knows of each store's state, for a peer.
 
         Parameters
         ----------
-        theirs : tuple of gossip.StoreWord
+        their_words : tuple of gossip.StoreWord
             What the peer has sent. Stores of which it knows as much are left out.
 
         Returns
@@ -85,19 +85,19 @@
         """
         if all(row.is_followed for row in self._stores.rows):
             return ()
-        word_by_store = {word.store: word for word in theirs}
+        word_by_store = {word.store: word for word in their_words}
         return tuple(
             gossip.StoreWord(
                 row.name,
                 row.boot,
                 row.position,
-                row.told_at,
+                row.status_at,
                 row.heard_at is None,
                 row.clock_lead,
             )
             for row in self._stores.rows
-            if row.told_at is not None
-            and not _is_as_late(word_by_store.get(row.name), row)
+            if row.status_at is not None
+            and not _is_up_to_date(word_by_store.get(row.name), row)
         )
 
     def news_for(self, words):
@@ -117,7 +117,9 @@
         news, parts = [], 0
         for row in self._stores.rows:
             word = word_by_store.get(row.name)
-            if row.told_at is None or (word is not None and _knows(word, row)):
+            if row.status_at is None or (
+                word is not None and _knows_all_parts(word, row)
+            ):
                 continue
             item = _news_of(row, word)
             parts += len(item.parts)
@@ -139,39 +141,43 @@
             row = self._stores.rows.get(item.store)
             word = word_by_store.get(item.store)
             if row is not None and word is not None:
-                _take(item, word, row)
+                _apply_news(item, word, row)
         for word in message.store_words:
             row = self._stores.rows.get(word.store)
             if row is not None and word.boot == row.boot and _is_later(word, row):
-                row.note_word(word.told_at, word.is_silent, word.clock_lead)
+                row.note_status(word.told_at, word.is_silent, word.clock_lead)
 
-    def _choose(self):
+    def _choose_followers(self):
         me = self._state.me
         entries = self._state.live_entries()
-        here = [row.name for row in entries if row.data_centre == me.data_centre]
+        local_names = [row.name for row in entries if row.data_centre == me.data_centre]
         for row in self._stores.rows:
-            chosen = here
+            chosen = local_names
             if len(entries) > row.store.followers:
-                chosen = hashing.rank(row.name, here)[:FOLLOWERS]
+                chosen = hashing.rank(row.name, local_names)[:FOLLOWERS]
             row.is_followed = me.name in chosen
         self._followed = frozenset(
             row.name for row in self._stores.rows if row.is_followed
         )
 
 
-def _is_as_late(word, row):
+def _is_up_to_date(word, row):
     """Return whether a peer's state of a store is as complete and recent as ours.
 
     `word` is the peer's `gossip.StoreWord`, or None if it has sent none.
     """
-    return word is not None and _knows(word, row) and word.told_at >= row.told_at
+    return (
+        word is not None
+        and _knows_all_parts(word, row)
+        and word.told_at >= row.status_at
+    )
 
 
 def _is_later(word, row):
-    return row.told_at is None or word.told_at > row.told_at
+    return row.status_at is None or word.told_at > row.status_at
 
 
-def _knows(word, row):
+def _knows_all_parts(word, row):
     """Return whether a peer knows all the parts of a store that are known here.
 
     If the peer knows another start of the store, the start that was observed last
@@ -179,7 +185,7 @@
     """
     if word.boot == row.boot:
         return word.position >= row.position
-    return word.told_at >= row.told_at
+    return word.told_at >= row.status_at
 
 
 def _news_of(row, word):
@@ -193,7 +199,7 @@
     return gossip.StoreNews(row.name, row.boot, 0, row.position, True, row.whole_list())
 
 
-def _take(item, word, row):
+def _apply_news(item, word, row):
     """Apply a peer's news of a store, unless this host knows something later.
 
     Guards against a restarted store whose earlier parts come back by a peer that
@@ -206,4 +212,4 @@
             row.apply(item)
     elif item.whole_list and _is_later(word, row):
         row.apply(item)
-        row.note_word(word.told_at, word.is_silent, word.clock_lead)
+        row.note_status(word.told_at, word.is_silent, word.clock_lead)
--- a/packages/decide/sesamespindle/decide/weights.py
+++ b/packages/decide/sesamespindle/decide/weights.py
@@ -13,17 +13,17 @@
 # Share of the time allowed after which no run is sent to superseded weights. The rest
 # covers the way to the target, and the delay until this host learned of the version
 # that the platform had accepted.
-_OLD_ALLOWED_SHARE = 0.8
+_SEND_SHARE = 0.8
 # Share of the time allowed after which a run that still waits at a target is withdrawn.
 # The rest, 0.8 s of 8 s, covers a tick of 0.1 s, the way to the target of the closed
 # connection, and the delay until this host learned of the version.
-_BEGUN_SHARE = 0.9
+_BEGIN_SHARE = 0.9
 # For this long after an announcement a run on the superseded weights keeps its full
 # value. Operators allow 1.5 s from when the platform accepted the announcement.
-_FREE_FOR = datetime.timedelta(seconds=1.3)
+_FULL_VALUE_FOR = datetime.timedelta(seconds=1.3)
 # Share of its value that such a run loses at once after that. The share rises linearly
 # to 1 at the end of the time allowed.
-_FIRST_LOSS = 0.2
+_INITIAL_COST = 0.2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -112,10 +112,12 @@
         """Process an event of this module; return False for any other event."""
         match event:
             case VersionNamed(model, version):
-                replaces = self._before(model, version)
+                replaces = self._predecessor(model, version)
                 self._learn(namings.Naming(model, version, replaces, now, True), now)
             case VersionFound(model, version, not_named_at):
-                replaces = 0 if not_named_at is None else self._before(model, version)
+                replaces = (
+                    0 if not_named_at is None else self._predecessor(model, version)
+                )
                 self._learn(
                     namings.Naming(model, version, replaces, not_named_at, False), now
                 )
@@ -123,15 +125,15 @@
                 return False
         return True
 
-    def hear(self, told, now):
+    def hear(self, received, now):
         """Merge the `namings.Naming` records that a peer has sent."""
-        for naming in told:
+        for naming in received:
             self._learn(naming, now)
 
     def tick(self, now):
         """Stop the gossip about versions that were announced too long ago to matter."""
-        told_for = self._in_force_within + self._contact_time
-        self._state.namings.tell_after(now - told_for)
+        gossiped_for = self._in_force_within + self._contact_time
+        self._state.namings.gossip_only_after(now - gossiped_for)
 
     def models(self):
         """Return the models of which a version has been announced."""
@@ -149,7 +151,7 @@
         """Return whether a target is thought to run a superseded version."""
         return bool(model) and self.running(row, model) < self.named(model)
 
-    def loss(self, row, model, now):
+    def cost(self, row, model, now):
         """Return the cost of a target's superseded weights, as a share of the value.
 
         Returns
@@ -157,21 +159,21 @@
         cost : float
             From 0 for a run of full value to 1 for a run without value.
         """
-        replaced = self.replacement(self.running(row, model), model)
-        if replaced is None:
+        newer = self.replacement(self.running(row, model), model)
+        if newer is None:
             return 0.0
-        if replaced.at is None:
+        if newer.at is None:
             return 1.0
-        age = now - replaced.at
-        if age < _FREE_FOR:
+        age = now - newer.at
+        if age < _FULL_VALUE_FOR:
             return 0.0
-        part = (age - _FREE_FOR) / (self._in_force_within - _FREE_FOR)
-        return min(1.0, _FIRST_LOSS + (1.0 - _FIRST_LOSS) * part)
+        share = (age - _FULL_VALUE_FOR) / (self._in_force_within - _FULL_VALUE_FOR)
+        return min(1.0, _INITIAL_COST + (1.0 - _INITIAL_COST) * share)
 
     def may_begin(self, row, model, now):
         """Return whether a run may still be sent to the version of a target."""
-        replaced = self.replacement(self.running(row, model), model)
-        return replaced is None or now < replaced.send_until
+        newer = self.replacement(self.running(row, model), model)
+        return newer is None or now < newer.send_until
 
     def replacement(self, version, model):
         """Return the `Replacement` of a version, or None while it is the newest.
@@ -194,8 +196,8 @@
         return Replacement(
             naming.version,
             at,
-            since + allowed * _OLD_ALLOWED_SHARE,
-            since + allowed * _BEGUN_SHARE,
+            since + allowed * _SEND_SHARE,
+            since + allowed * _BEGIN_SHARE,
         )
 
     def note_refused(self, row, model, refused):
@@ -219,7 +221,7 @@
         else:
             row.guessed_version = None
 
-    def _before(self, model, version):
+    def _predecessor(self, model, version):
         """Return the version that was active when a given one was announced.
 
         Guards against a version that seems to supersede itself, when a host learns of
--- a/tests/decide/test_kvstores.py
+++ b/tests/decide/test_kvstores.py
@@ -33,17 +33,17 @@
             1, service_by_name={"s": routes.Service("s", 0, None, store)}
         )
     )
-    tell(made)
+    report_parts(made)
     return made
 
 
-def tell(stores, *parts, boot=1, now=NOW, whole_list=False):
-    told = tuple(kvstores.PartEvent("1", *part) for part in parts)
-    stores.take(kvstores.StoreChanged("s", boot, told, whole_list, 5000.0), now)
+def report_parts(stores, *parts, boot=1, now=NOW, whole_list=False):
+    part_events = tuple(kvstores.PartEvent("1", *part) for part in parts)
+    stores.take(kvstores.StoreChanged("s", boot, part_events, whole_list, 5000.0), now)
 
 
-def plan(stores, now=NOW, home=None):
-    return stores.plan(ENGINES, make_engine("e1"), home, "1", PROMPT, now)
+def plan(stores, now=NOW, preferred=None):
+    return stores.plan(ENGINES, make_engine("e1"), preferred, "1", PROMPT, now)
 
 
 def test_saves_what_no_store_holds_but_never_the_prompts_own_part(stores):
@@ -60,40 +60,40 @@
     plan(stores)
     assert plan(stores).save_to == (None, None, None)
     assert not any(plan(stores).fetch_from)
-    tell(stores, ("a", 100), ("b", 2000))
+    report_parts(stores, ("a", 100), ("b", 2000))
     assert plan(stores).fetch_from == ("s:1", "s:1", None)
 
 
-def test_a_part_that_is_not_all_there_is_not_fetched(stores):
-    tell(stores, ("a", 100), ("b", 1999))
+def test_an_incomplete_part_is_not_fetched(stores):
+    report_parts(stores, ("a", 100), ("b", 1999))
     assert plan(stores).fetch_from == ("s:1", None, None)
 
 
 def test_a_store_that_started_anew_holds_nothing(stores):
-    tell(stores, ("a", 100), ("b", 2000))
-    tell(stores, boot=2)
+    report_parts(stores, ("a", 100), ("b", 2000))
+    report_parts(stores, boot=2)
     assert not any(plan(stores).fetch_from)
 
 
-def test_a_silent_store_is_left_alone(stores):
+def test_an_unavailable_store_is_not_used(stores):
     """A store dies. An engine that fetches from it waits for some hundred ms."""
-    tell(stores, ("a", 100), ("b", 2000))
+    report_parts(stores, ("a", 100), ("b", 2000))
     assert plan(stores, NOW + seconds(3)).fetch_from == (None, None, None)
     assert not any(plan(stores, NOW + seconds(3)).save_to)
 
 
-def test_a_full_store_is_sent_no_more(stores):
-    tell(stores, ("x", 2500))
+def test_a_part_that_does_not_fit_is_not_saved(stores):
+    report_parts(stores, ("x", 2500))
     assert plan(stores).save_to == ("s:1", None, None)
 
 
-def test_what_no_store_holds_is_fetched_from_the_contexts_home(stores):
-    transfers = plan(stores, home=make_engine("e2"))
+def test_what_no_store_holds_is_fetched_from_the_preferred_engine(stores):
+    transfers = plan(stores, preferred=make_engine("e2"))
     assert transfers.fetch_from == ("e2:80", "e2:80", None)
 
 
 def test_a_fetch_ends_in_time_on_the_engines_clock(stores):
-    tell(stores, ("a", 100), ("b", 2000))
+    report_parts(stores, ("a", 100), ("b", 2000))
     transfers = plan(stores)
     assert 5000 < transfers.until_ms < 5200
 
@@ -105,10 +105,10 @@
 
 
 def test_parts_of_weights_that_nobody_runs_are_freed_after_a_while(stores):
-    tell(stores, ("a", 100))
+    report_parts(stores, ("a", 100))
     assert free(stores, {"2"}, NOW) == []
     later = NOW + seconds(2)
-    tell(stores, now=later)
+    report_parts(stores, now=later)
     (command,) = free(stores, {"2"}, later)
     assert command.parts == (("1", "a"),)
     assert command.boot == 1
@@ -116,20 +116,20 @@
 
 
 def test_parts_of_running_weights_are_never_freed(stores):
-    tell(stores, ("a", 100))
+    report_parts(stores, ("a", 100))
     for step in range(10):
         at = NOW + seconds(step)
-        tell(stores, now=at)
+        report_parts(stores, now=at)
         assert free(stores, {"1"}, at) == []
 
 
-def test_a_store_that_only_refuses_questions_is_not_taken_for_gone(stores):
+def test_a_store_that_only_refuses_requests_is_not_considered_dead(stores):
     """Many hosts follow a store, which refuses this one's requests for a while.
 
     The store still serves fetches. If it were considered dead, engines would
     recompute its parts.
     """
-    tell(stores, ("b", 2000))
+    report_parts(stores, ("b", 2000))
     stores.take(kvstores.StoreHeard("s"), NOW + seconds(2))
     assert plan(stores, NOW + seconds(4)).fetch_from == (None, "s:1", None)
     assert plan(stores, NOW + seconds(5)).fetch_from == (None, None, None)
--- a/tests/decide/test_placement.py
+++ b/tests/decide/test_placement.py
@@ -15,19 +15,23 @@
     return row
 
 
-def make_work(read_tokens=1000, held_tokens=1000):
+def make_work(prefill_tokens=1000, held_tokens=1000):
     return placement.Work(
         held_tokens,
         100_000,
         0.4,
-        lambda row: placement.Effort(read_tokens),
+        lambda row: placement.Effort(prefill_tokens),
     )
 
 
-def choose(rows, loss_by_name=None, home_row=None, **work):
-    losses = loss_by_name or {}
+def choose(rows, cost_by_name=None, preferred_row=None, **work):
+    costs = cost_by_name or {}
     return placement.choose_engine(
-        rows, make_work(**work), NOW, lambda row: losses.get(row.name, 0.0), home_row
+        rows,
+        make_work(**work),
+        NOW,
+        lambda row: costs.get(row.name, 0.0),
+        preferred_row,
     )
 
 
@@ -35,12 +39,12 @@
     return world.SentWork(NOW, tokens, held_tokens)
 
 
-def test_prefers_the_home_of_a_context():
+def test_chooses_the_preferred_engine_of_a_context():
     rows = [make_row("a"), make_row("b")]
-    assert choose(rows, home_row=rows[1]) is rows[1]
+    assert choose(rows, preferred_row=rows[1]) is rows[1]
 
 
-def test_leaves_a_home_that_would_be_late():
+def test_leaves_a_preferred_engine_that_would_be_late():
     """Prompts of one context queue at its preferred engine while others idle.
 
     The preferred engine has more than a second of prefill to do first. To prefill
@@ -48,7 +52,7 @@
     """
     busy = make_row("a", sent_by_request={"r": sent(60_000)})
     idle = make_row("b")
-    assert choose([busy, idle], home_row=busy) is idle
+    assert choose([busy, idle], preferred_row=busy) is idle
 
 
 def test_counts_what_peers_have_sent():
@@ -56,7 +60,7 @@
     assert choose(rows) is rows[1]
 
 
-def test_old_weights_on_time_beat_new_ones_too_late():
+def test_superseded_weights_in_time_beat_new_ones_too_late():
     """New weights are announced and only two of five engines have loaded them.
 
     If all prompts went to those two, their first tokens would come a second late.
@@ -75,7 +79,10 @@
     It would preempt a run and recompute its prompt.
     """
     full = make_row("a", peer_work_by_entry={"e": sent(0, 80_000)})
-    assert choose([full, make_row("b")], home_row=full, held_tokens=12_000).name == "b"
+    assert (
+        choose([full, make_row("b")], preferred_row=full, held_tokens=12_000).name
+        == "b"
+    )
 
 
 def test_missing_targets_are_used_only_if_no_other_is_left():
@@ -90,7 +97,7 @@
     assert placement.choose_plain(rows, "dc-1", NOW) is rows[1]
 
 
-def test_contexts_whose_homes_are_away_spread_over_all_engines():
+def test_contexts_without_their_preferred_engine_spread_over_all_engines():
     """The preferred engines of some contexts are unavailable.
 
     If all hosts took the first of the other engines, that one would get the prompts
--- a/tests/decide/test_storerelay.py
+++ b/tests/decide/test_storerelay.py
@@ -17,7 +17,7 @@
 NOW = datetime.datetime(2026, 3, 1, 9, 0, tzinfo=datetime.UTC)
 TERMS = gateway.Terms(None)
 STORES = 21
-PLACES = 12
+MAX_REQUESTS = 12
 
 
 def seconds(count):
@@ -44,7 +44,7 @@
             0,
             None,
             routes.KvStore(
-                f"s-{number}:1", "dc-0", 100_000, 8e9, seconds(0), True, PLACES
+                f"s-{number}:1", "dc-0", 100_000, 8e9, seconds(0), True, MAX_REQUESTS
             ),
         )
         for number in range(stores)
@@ -70,11 +70,11 @@
     ]
 
 
-def tell(core, *parts, since, position, boot=1, whole_list=False, now=NOW):
-    told = tuple(kvstores.PartEvent("1", *part) for part in parts)
+def report_parts(core, *parts, since, position, boot=1, whole_list=False, now=NOW):
+    part_events = tuple(kvstores.PartEvent("1", *part) for part in parts)
     core.stores.take(
         kvstores.StoreChanged(
-            "store-0", boot, told, whole_list, 5000.0, since, position
+            "store-0", boot, part_events, whole_list, 5000.0, since, position
         ),
         now,
     )
@@ -104,8 +104,8 @@
     return core.stores.rows.get("store-0").tokens_by_part
 
 
-@pytest.mark.parametrize("count", [1, 6, PLACES])
-def test_each_host_follows_stores_that_have_places_for_all(count):
+@pytest.mark.parametrize("count", [1, 6, MAX_REQUESTS])
+def test_each_host_follows_stores_that_hold_requests_of_all(count):
     hosts = make_hosts(count, data_centres=3)
     for number in range(STORES):
         assert len(followers_of(hosts, f"store-{number}")) == count
@@ -128,7 +128,7 @@
         }
         follows += names
     assert max(follows.count(name) for name in hosts) <= 8
-    assert hosts["entry-0"].stores.relay.followers(PLACES) == 10
+    assert hosts["entry-0"].stores.relay.followers(MAX_REQUESTS) == 10
 
 
 def test_a_host_that_knows_no_others_yet_follows_nothing():
@@ -153,7 +153,7 @@
     assert second in names
 
 
-def test_all_hosts_of_a_data_centre_hear_what_a_follower_is_told():
+def test_all_hosts_of_a_data_centre_learn_what_a_follower_knows():
     """A context is stored, and its next prompt arrives at a host that doesn't follow.
 
     That host has to know the parts within 2 s. A host of a large fleet that asked the
@@ -161,15 +161,15 @@
     """
     hosts = make_hosts(40)
     follower = hosts[followers_of(hosts, "store-0")[0]]
-    tell(follower, ("a", 100), since=0, position=5, whole_list=True)
-    tell(follower, ("b", 200), since=5, position=6)
+    report_parts(follower, ("a", 100), since=0, position=5, whole_list=True)
+    report_parts(follower, ("b", 200), since=5, position=6)
     for number in range(5):
         run_round(hosts, NOW + number * seconds(0.4))
     expected = {("1", "a"): 100, ("1", "b"): 200}
     assert [parts_of(core) for core in hosts.values()] == [expected] * 40
 
 
-def hear(core, other):
+def ask_peer(core, other):
     """Have a host get another's answer in one gossip round."""
     words = core.stores.relay.words()
     relay = other.stores.relay
@@ -187,14 +187,14 @@
     """Return two hosts of a large fleet that know a store but don't follow it."""
     hosts = list(make_hosts(40).values())[:2]
     for core in hosts:
-        tell(core, ("a", 100), since=0, position=5, whole_list=True)
+        report_parts(core, ("a", 100), since=0, position=5, whole_list=True)
         core.stores.rows.get("store-0").is_followed = False
     return hosts
 
 
-def test_changes_are_told_and_not_the_whole_list(pair):
+def test_changes_are_sent_and_not_the_whole_list(pair):
     first, second = pair
-    tell(second, ("b", 200), since=5, position=7, now=NOW + seconds(1))
+    report_parts(second, ("b", 200), since=5, position=7, now=NOW + seconds(1))
     news = second.stores.relay.news_for(first.stores.relay.words())
     assert [(item.whole_list, len(item.parts)) for item in news] == [(False, 1)]
 
@@ -205,10 +205,10 @@
     If this host took the part over from the peer, it would plan fetches that all miss.
     """
     first, second = pair
-    tell(first, ("a", 0), since=5, position=6, now=NOW + seconds(1))
-    hear(first, second)
+    report_parts(first, ("a", 0), since=5, position=6, now=NOW + seconds(1))
+    ask_peer(first, second)
     assert parts_of(first) == {}
-    hear(second, first)
+    ask_peer(second, first)
     assert parts_of(second) == {}
 
 
@@ -218,9 +218,9 @@
     The store's answer is older and must not bring a removed part back.
     """
     first, second = pair
-    tell(second, ("a", 0), since=5, position=9, now=NOW + seconds(1))
-    hear(first, second)
-    tell(first, ("a", 100), since=5, position=7, now=NOW + seconds(1.2))
+    report_parts(second, ("a", 0), since=5, position=9, now=NOW + seconds(1))
+    ask_peer(first, second)
+    report_parts(first, ("a", 100), since=5, position=7, now=NOW + seconds(1.2))
     assert parts_of(first) == {}
 
 
@@ -230,22 +230,24 @@
     Whichever host asks the other, both drop the parts of the earlier start.
     """
     first, second = pair
-    tell(first, since=0, position=1, boot=2, whole_list=True, now=NOW + seconds(2))
-    hear(first, second)
+    report_parts(
+        first, since=0, position=1, boot=2, whole_list=True, now=NOW + seconds(2)
+    )
+    ask_peer(first, second)
     assert first.stores.rows.get("store-0").boot == 2
-    hear(second, first)
+    ask_peer(second, first)
     assert parts_of(first) == parts_of(second) == {}
     assert second.stores.rows.get("store-0").boot == 2
 
 
 def test_a_gap_is_filled_by_a_peer_and_not_by_the_store(pair):
     first, second = pair
-    tell(second, ("b", 200), since=20, position=30, now=NOW + seconds(1))
-    hear(first, second)
+    report_parts(second, ("b", 200), since=20, position=30, now=NOW + seconds(1))
+    ask_peer(first, second)
     assert parts_of(first) == {("1", "a"): 100, ("1", "b"): 200}
 
 
-def test_a_store_counts_as_gone_by_the_age_of_its_own_word(pair):
+def test_a_store_is_considered_dead_by_the_age_of_its_last_answer(pair):
     """A store dies, and the time of its last answer still goes round by gossip.
 
     If its age counted from each arrival, the store would stay in use for as long as
@@ -253,17 +255,17 @@
     """
     first, second = pair
     for number in range(1, 5):
-        hear(first, second)
-        hear(second, first)
+        ask_peer(first, second)
+        ask_peer(second, first)
         row = first.stores.rows.get("store-0")
-        assert row.alive(NOW + seconds(number)) == (number < 4)
+        assert row.is_available(NOW + seconds(number)) == (number < 4)
 
 
-def test_peers_hear_that_a_store_is_silent_and_that_it_is_back(pair):
+def test_peers_learn_that_a_store_is_unavailable_and_that_it_is_back(pair):
     first, second = pair
     second.stores.take(kvstores.StoreSilent("store-0"), NOW + seconds(1))
-    hear(first, second)
-    assert not first.stores.rows.get("store-0").alive(NOW + seconds(1))
-    tell(second, since=5, position=5, now=NOW + seconds(2))
-    hear(first, second)
-    assert first.stores.rows.get("store-0").alive(NOW + seconds(2))
+    ask_peer(first, second)
+    assert not first.stores.rows.get("store-0").is_available(NOW + seconds(1))
+    report_parts(second, since=5, position=5, now=NOW + seconds(2))
+    ask_peer(first, second)
+    assert first.stores.rows.get("store-0").is_available(NOW + seconds(2))
--- a/tests/decide/test_weights.py
+++ b/tests/decide/test_weights.py
@@ -31,18 +31,18 @@
     return core.weights.may_begin(core.state.targets.get("llm-3"), "m", at)
 
 
-def loss(core, at):
-    return core.weights.loss(core.state.targets.get("llm-3"), "m", at)
+def cost(core, at):
+    return core.weights.cost(core.state.targets.get("llm-3"), "m", at)
 
 
-def tell(teller, hearer, at):
+def gossip_versions(sender, receiver, at):
     """Send a host's announced versions to another one, by the wire format."""
-    teller.step(at, [events.Tick()])
-    message = gossip.GossipMessage("entry-2", "dc-1", named=teller.state.namings.told)
+    sender.step(at, [events.Tick()])
+    message = gossip.GossipMessage("entry-2", "dc-1", named=sender.state.namings.told)
     raw = peermessages.gossip_to_wire(message, 0, at).SerializeToString()
     read = type(peermessages.gossip_to_wire(message, 0, at)).FromString(raw)
     heard = peermessages.gossip_from_wire(read, at)
-    hearer.step(at, [gossip.GossipAnswered("10.0.0.2:81", heard)])
+    receiver.step(at, [gossip.GossipAnswered("10.0.0.2:81", heard)])
 
 
 def test_a_host_that_starts_learns_a_versions_age_from_peers():
@@ -56,22 +56,22 @@
     later = NOW + 5 * SECOND
     started.step(later, [weights.VersionFound("m", 2, None)])
     assert not may_begin(started, later)
-    tell(peer, started, later)
+    gossip_versions(peer, started, later)
     assert may_begin(started, NOW + 6.3 * SECOND)
     assert not may_begin(started, NOW + 6.5 * SECOND)
 
 
-def test_of_two_hosts_the_one_that_heard_first_counts():
+def test_of_two_hosts_the_earlier_time_counts():
     first, last = make_core(), make_core()
     first.step(NOW, [weights.VersionNamed("m", 2)])
     last.step(NOW + 3 * SECOND, [weights.VersionNamed("m", 2)])
-    tell(first, last, NOW + 4 * SECOND)
+    gossip_versions(first, last, NOW + 4 * SECOND)
     assert not may_begin(last, NOW + 6.5 * SECOND)
-    tell(last, first, NOW + 4 * SECOND)
+    gossip_versions(last, first, NOW + 4 * SECOND)
     assert not may_begin(first, NOW + 6.5 * SECOND)
 
 
-def test_only_versions_whose_time_is_not_over_are_told():
+def test_only_versions_whose_time_is_not_over_are_gossiped():
     core = make_core()
     core.step(NOW, [weights.VersionNamed("m", 2)])
     core.step(NOW + 10 * SECOND, [events.Tick()])
@@ -80,13 +80,13 @@
     assert core.state.namings.told == ()
 
 
-def test_an_age_that_isnt_known_is_not_told():
+def test_an_unknown_age_is_not_gossiped():
     core = make_core()
     core.step(NOW, [weights.VersionFound("m", 2, None), events.Tick()])
     assert core.state.namings.told == ()
 
 
-def test_a_time_before_a_naming_is_told_as_one():
+def test_a_time_before_an_announcement_is_gossiped_as_one():
     """No host received an announcement as it was made, as all watches had broken.
 
     Hosts that read the version later know a time at which it wasn't announced yet.
@@ -98,14 +98,14 @@
     reader.step(later, [weights.VersionFound("m", 2, NOW + 5 * SECOND)])
     other.step(later, [weights.VersionFound("m", 2, None)])
     assert not may_begin(other, later)
-    tell(reader, other, later)
+    gossip_versions(reader, other, later)
     assert may_begin(other, NOW + 11 * SECOND)
     assert not may_begin(other, NOW + 11.5 * SECOND)
     other.step(later, [weights.VersionNamed("m", 2)])
     assert may_begin(other, NOW + 12 * SECOND)
 
 
-def test_a_version_that_is_heard_of_twice_does_not_replace_itself():
+def test_a_version_that_is_received_twice_does_not_supersede_itself():
     """A host learns of a version from a peer, and then by its own watch.
 
     If the version seemed to supersede itself, its predecessor would be unknown. All
@@ -114,21 +114,21 @@
     """
     first, second = make_core(), make_core()
     first.step(NOW, [weights.VersionNamed("m", 2)])
-    tell(first, second, NOW)
+    gossip_versions(first, second, NOW)
     second.step(NOW, [weights.VersionNamed("m", 2)])
     assert may_begin(second, NOW + SECOND)
-    tell(second, first, NOW)
+    gossip_versions(second, first, NOW)
     assert may_begin(first, NOW + SECOND)
 
 
-def test_news_of_an_older_version_that_comes_late_is_of_the_one_before_it():
+def test_an_older_version_that_is_received_late_is_the_predecessor():
     core = make_core()
     core.step(NOW, [weights.VersionNamed("m", 3)])
     core.step(NOW, [weights.VersionNamed("m", 2)])
     assert may_begin(core, NOW + SECOND)
 
 
-def test_a_version_is_told_with_its_age_from_when_it_is_known():
+def test_a_version_is_gossiped_with_its_age_from_when_it_is_known():
     """A peer asks between an announcement and the next tick.
 
     If it learned of the change but not of its age, it would consider all older
@@ -140,19 +140,19 @@
     assert [naming.version for naming in core.state.namings.told] == [2]
 
 
-def test_an_answer_that_lay_here_is_dated_from_its_question():
+def test_an_answer_that_waited_here_is_dated_from_its_request():
     """A host is paused while a peer's answer is in flight, and resumes 4 s later.
 
     Ages in the answer count from when the host asked, so that they aren't too low.
     """
-    told = (namings.Naming("m", 2, 1, NOW, True),)
-    message = gossip.GossipMessage("entry-2", "dc-1", named=told)
+    received = (namings.Naming("m", 2, 1, NOW, True),)
+    message = gossip.GossipMessage("entry-2", "dc-1", named=received)
     raw = peermessages.gossip_to_wire(message, 0, NOW)
     read = peermessages.gossip_from_wire(raw, NOW + 4 * SECOND, sent_after=NOW)
-    assert read.named == told
+    assert read.named == received
 
 
-def test_a_version_in_between_that_nobody_told_of_makes_older_weights_too_old():
+def test_an_unknown_version_in_between_makes_older_weights_too_old():
     """An engine runs version 1; version 2 was announced long ago, version 3 just now.
 
     A host that started in between receives only the announcement of version 3. If it
@@ -168,11 +168,11 @@
     assert may_begin(core, later)
 
 
-def test_a_version_told_without_the_one_before_it_makes_older_weights_too_old():
+def test_a_version_received_without_the_one_before_it_makes_older_weights_too_old():
     core = make_core()
     later = NOW + 20 * SECOND
-    told = (namings.Naming("m", 3, 2, later, True),)
-    message = gossip.GossipMessage("entry-2", "dc-1", named=told)
+    received = (namings.Naming("m", 3, 2, later, True),)
+    message = gossip.GossipMessage("entry-2", "dc-1", named=received)
     core.step(later, [gossip.GossipAnswered("10.0.0.2:81", message)])
     assert not may_begin(core, later)
 
@@ -188,7 +188,7 @@
     core = make_core()
     core.step(NOW, [weights.VersionFound("m", 2, None)])
     assert may_begin(core, NOW + 2 * SECOND)
-    assert loss(core, NOW + 2 * SECOND) == 1.0
+    assert cost(core, NOW + 2 * SECOND) == 1.0
     assert not may_begin(core, NOW + 2.5 * SECOND)
 
 
@@ -232,7 +232,7 @@
     assert not core.state.pauses.paused_since(NOW + 1.1 * SECOND)
 
 
-def test_what_is_sure_goes_before_what_is_not_in_whatever_order():
+def test_a_sure_time_takes_precedence_in_any_order():
     sure = namings.Naming("m", 2, 1, NOW, True)
     found = namings.Naming("m", 2, 0, NOW - 5 * SECOND, False)
     at_any_time = namings.Naming("m", 2, 0, None, False)
@@ -243,7 +243,7 @@
         assert known.get("m", 2) == sure
 
 
-def test_the_later_of_two_times_before_a_naming_counts():
+def test_the_later_of_two_times_before_an_announcement_counts():
     known = namings.Namings()
     known.learn(namings.Naming("m", 2, 0, None, False))
     known.learn(namings.Naming("m", 2, 1, NOW, False))
