--- a/packages/decide/sesamespindle/decide/coldtargets.py
+++ b/packages/decide/sesamespindle/decide/coldtargets.py
@@ -12,7 +12,7 @@
 # Share of a cold target's permitted rate that its sender uses. For a while two or three
 # hosts may each consider themselves the sender, as the lists of hosts that they know
 # differ by recently replaced hosts.
-_PART_OF_RATE = 0.5
+_RATE_SHARE = 0.5
 
 
 class ColdTargets:
@@ -54,18 +54,19 @@
         cold_start = self._state.cold_start_by_service.get(service)
         if cold_start is None:
             return rows
-        sound = [
+        warm = [
             row
             for row in rows
-            if not self.is_cold(row, now) and not self._is_doubted(row, cold_start, now)
+            if not self.is_cold(row, now)
+            and not self._may_have_restarted(row, cold_start, now)
         ]
-        mine = [
+        own_cold = [
             row
             for row in rows
             if self.is_cold(row, now) and self._may_send(row, cold_start, now)
         ]
-        if sound or mine:
-            return sound + mine
+        if warm or own_cold:
+            return warm + own_cold
         return [row for row in rows if not self.is_cold(row, now)]
 
     def is_cold(self, row, now):
@@ -77,7 +78,7 @@
         if self.is_cold(row, now):
             row.cold_sent_at = now
 
-    def _is_doubted(self, row, cold_start, now):
+    def _may_have_restarted(self, row, cold_start, now):
         """Return whether a target may have restarted cold, unknown to this host.
 
         Guards against all hosts sending to a target that has just restarted: it
@@ -85,11 +86,11 @@
         under more requests than a cold target can handle. So a target that refused
         connections or crashed is doubted for as long as a cold target stays cold.
         """
-        lately = now - cold_start.lasts
-        if row.refused_at is not None and row.refused_at > lately:
+        doubted_since = now - cold_start.lasts
+        if row.refused_at is not None and row.refused_at > doubted_since:
             return True
         crash = self._crashes.crash_of(row.life)
-        return crash is not None and crash.at > lately
+        return crash is not None and crash.at > doubted_since
 
     def _may_send(self, row, cold_start, now):
         """Return whether this host may send to a cold target now."""
@@ -97,7 +98,7 @@
             return False
         if row.cold_sent_at is None:
             return True
-        gap = 1.0 / (_PART_OF_RATE * cold_start.per_second)
+        gap = 1.0 / (_RATE_SHARE * cold_start.per_second)
         return (now - row.cold_sent_at).total_seconds() >= gap
 
     def _is_settled(self, now):
--- a/packages/decide/sesamespindle/decide/contexts.py
+++ b/packages/decide/sesamespindle/decide/contexts.py
@@ -14,7 +14,7 @@
 # The most targets that are remembered for one checkpoint.
 _MAX_TARGETS = 3
 # A target that processed a context longer ago than this isn't expected to hold it.
-_TRUSTED_FOR = datetime.timedelta(minutes=30)
+_HELD_FOR = datetime.timedelta(minutes=30)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -83,7 +83,7 @@
         tokens_by_target = {}
         for position, block_id in hashing.checkpoints(ids):
             for item in self._sightings_by_id.get(bytes.fromhex(block_id), ()):
-                if now - item.at < _TRUSTED_FOR:
+                if now - item.at < _HELD_FOR:
                     tokens_by_target[item.target] = position * hashing.BLOCK_TOKENS
         return tokens_by_target
 
--- a/packages/decide/sesamespindle/decide/evacuations.py
+++ b/packages/decide/sesamespindle/decide/evacuations.py
@@ -106,11 +106,11 @@
             if row.data_centre == data_centre:
                 row.evacuated = is_evacuated
                 if not is_evacuated:
-                    self._note_return(row, revision, now)
+                    self._treat_as_cold(row, revision, now)
         kind = "data_centre_evacuated" if is_evacuated else "evacuation_lifted"
         self._state.emit(commands.Note(kind, data_centre))
 
-    def _note_return(self, row, revision, now):
+    def _treat_as_cold(self, row, revision, now):
         """Treat a target as cold until a later record of its own says otherwise.
 
         Guards against all hosts sending to the targets of a data centre at once when
--- a/packages/decide/sesamespindle/decide/readings.py
+++ b/packages/decide/sesamespindle/decide/readings.py
@@ -17,7 +17,7 @@
 # An object that wasn't there this long ago counts as created now. The error is less
 # than the margin that `weights` leaves between its last runs on superseded weights
 # and the end of the time allowed for those.
-_JUST_NOW = datetime.timedelta(seconds=1)
+_NEW_WITHIN = datetime.timedelta(seconds=1)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -106,5 +106,5 @@
 
     def _reading(self, kind, source, now):
         read_at, above = self._last_by_kind.get(kind, (None, -1))
-        is_just_now = read_at is not None and now - read_at < _JUST_NOW
+        is_just_now = read_at is not None and now - read_at < _NEW_WITHIN
         return Reading(source, above, read_at, is_just_now)
--- a/packages/decide/sesamespindle/decide/rollout.py
+++ b/packages/decide/sesamespindle/decide/rollout.py
@@ -13,19 +13,19 @@
 
 # Share of a service's engines that load weights at once. Loads slow down when more
 # than two fifths of the engines load.
-_AT_ONCE_SHARE = 0.4
+_CONCURRENT_SHARE = 0.4
 # Interval between reads of the report of an engine with a load slot.
 _REPORT_INTERVAL = datetime.timedelta(milliseconds=200)
 # The same for an engine that was set aside: it may be unavailable for long, and each
 # read is charged for.
-_ASIDE_INTERVAL = datetime.timedelta(milliseconds=600)
+_SET_ASIDE_INTERVAL = datetime.timedelta(milliseconds=600)
 # An order is in doubt if the engine's reports show nothing of it for this long; engines
 # show an order within 0.2 s. An engine whose order is in doubt, or that answers no
 # report request for as long, yields its load slot to others.
-_ORDER_LOST_AFTER = datetime.timedelta(milliseconds=1200)
+_ORDER_DOUBT_AFTER = datetime.timedelta(milliseconds=1200)
 # An engine that was known to load keeps its slot until nothing was seen of it for this
 # long, the time of twenty reports: it may be unreachable and still be loading.
-_STUCK_AFTER = datetime.timedelta(seconds=4)
+_LOAD_LOST_AFTER = datetime.timedelta(seconds=4)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -123,22 +123,22 @@
         The engine's incarnation.
     model, version : str, int
         What it was last ordered to load, or is to be ordered to.
-    placed_at : datetime.datetime or None
+    slot_since : datetime.datetime or None
         When the engine got its load slot; None without one.
-    asked_at : datetime.datetime or None
+    report_requested_at : datetime.datetime or None
         When its report was last requested.
     set_aside_at : datetime.datetime or None
         When the engine last lost its slot.
-    tried_at : datetime.datetime or None
+    first_ordered_at : datetime.datetime or None
         When the latest order was first sent while the engine has this slot.
         Repetitions of an order don't count.
     ordered_at : datetime.datetime or None
         When an order was last sent.
     ordered_after : int
         The `expected_orders` of that order.
-    ready_after : int or None
+    order_due_after : int or None
         The engine's count of orders, while an order waits until the lease permits it.
-    running_at : datetime.datetime or None
+    loading_seen_at : datetime.datetime or None
         When the engine was last known to load; None again once a report shows that it
         doesn't, or once the engine is set aside.
     doubt_noted : bool
@@ -148,14 +148,14 @@
     life: lives.Life
     model: str
     version: int
-    placed_at: datetime.datetime | None
-    asked_at: datetime.datetime | None = None
+    slot_since: datetime.datetime | None
+    report_requested_at: datetime.datetime | None = None
     set_aside_at: datetime.datetime | None = None
-    tried_at: datetime.datetime | None = None
+    first_ordered_at: datetime.datetime | None = None
     ordered_at: datetime.datetime | None = None
     ordered_after: int = -1
-    ready_after: int | None = None
-    running_at: datetime.datetime | None = None
+    order_due_after: int | None = None
+    loading_seen_at: datetime.datetime | None = None
     doubt_noted: bool = False
 
 
@@ -185,12 +185,12 @@
             return
         for name, loading in list(self._loading_by_target.items()):
             row = self._state.target_in(loading.life)
-            if row is None or self._is_over(row, loading, now):
+            if row is None or self._is_finished(row, loading, now):
                 del self._loading_by_target[name]
             else:
                 self._follow(row, loading, now)
         for model in self._weights.models():
-            self._begin(model, now)
+            self._start_loads(model, now)
         if self._loading_by_target:
             # The reports are read while the lease is being made active for orders.
             self._lease.ask_to_act(now)
@@ -203,14 +203,14 @@
             case OrderAccepted():
                 loading = self._loading_by_target.get(event.target)
                 if loading and loading.ordered_after == event.expected_orders:
-                    self._note_running(loading, now)
+                    self._note_loading(loading, now)
             case ReportMissing():
                 pass
             case _:
                 return False
         return True
 
-    def _begin(self, model, now):
+    def _start_loads(self, model, now):
         by_pool = {}
         known = self._state.service_names
         for row in self._state.targets:
@@ -221,9 +221,9 @@
             if model in row.version_by_model:
                 by_pool.setdefault(row.pool, []).append(row)
         for rows in by_pool.values():
-            self._give_places(rows, model, now)
+            self._assign_slots(rows, model, now)
 
-    def _give_places(self, rows, model, now):
+    def _assign_slots(self, rows, model, now):
         """Give load slots to waiting engines of one service, as many as may load.
 
         Guards against engines that get no order while others hold all slots, which
@@ -237,19 +237,19 @@
         may then load at once. That slows loads down, but otherwise the waiting engines
         wouldn't have started at all.
         """
-        most = max(1, int(len(rows) * _AT_ONCE_SHARE))
+        max_loading = max(1, int(len(rows) * _CONCURRENT_SHARE))
         known = [self._loading_by_target.get(row.name) for row in rows]
-        placed = [loading for loading in known if loading and loading.placed_at]
-        placed.sort(key=lambda loading: loading.placed_at)
+        with_slot = [loading for loading in known if loading and loading.slot_since]
+        with_slot.sort(key=lambda loading: loading.slot_since)
         waiting = self._waiting(rows, model)
-        free = max(0, most - len(placed))
-        fruitless = [loading for loading in placed if _is_fruitless(loading, now)]
-        yielding = fruitless[: max(0, len(waiting) - free)]
+        free = max(0, max_loading - len(with_slot))
+        stalled = [loading for loading in with_slot if _shows_no_progress(loading, now)]
+        yielding = stalled[: max(0, len(waiting) - free)]
         for loading in yielding:
             self._set_aside(loading, now)
-        free = max(0, most - len(placed) + len(yielding))
+        free = max(0, max_loading - len(with_slot) + len(yielding))
         for row in waiting[:free]:
-            self._place(row, model, now)
+            self._assign_slot(row, model, now)
 
     def _waiting(self, rows, model):
         """Return the engines that wait for a load slot, in the order of their turns.
@@ -257,65 +257,65 @@
         Untried engines go first, those with the fewest requests from here before the
         others; then engines that were set aside, the earliest first.
         """
-        untried, aside = [], []
+        untried, set_aside = [], []
         for row in rows:
             if not _may_load(row) or not self._is_behind(row, model):
                 continue
             loading = self._loading_by_target.get(row.name)
             if loading is None:
                 untried.append(row)
-            elif loading.model == model and loading.placed_at is None:
-                aside.append(row)
+            elif loading.model == model and loading.slot_since is None:
+                set_aside.append(row)
         untried.sort(key=lambda row: (row.running_here, row.name))
-        aside.sort(key=lambda row: self._loading_by_target[row.name].set_aside_at)
-        return untried + aside
+        set_aside.sort(key=lambda row: self._loading_by_target[row.name].set_aside_at)
+        return untried + set_aside
 
-    def _place(self, row, model, now):
+    def _assign_slot(self, row, model, now):
         loading = self._loading_by_target.get(row.name)
         if loading is None:
             loading = _Loading(row.life, model, self._weights.named(model), now)
             self._loading_by_target[row.name] = loading
-        loading.placed_at, loading.tried_at = now, None
-        self._ask(row, loading, now)
+        loading.slot_since, loading.first_ordered_at = now, None
+        self._request_report(row, loading, now)
 
     def _set_aside(self, loading, now):
-        why = "no report was received"
-        if loading.running_at is not None:
-            why = "its load is no longer reported"
-        elif loading.tried_at is not None:
-            why = "its order is in doubt"
-        loading.placed_at, loading.set_aside_at = None, now
-        loading.running_at = None
-        self._state.emit(commands.Note("place_given_up", loading.life.name, why))
+        reason = "no report was received"
+        if loading.loading_seen_at is not None:
+            reason = "its load is no longer reported"
+        elif loading.first_ordered_at is not None:
+            reason = "its order is in doubt"
+        loading.slot_since, loading.set_aside_at = None, now
+        loading.loading_seen_at = None
+        self._state.emit(commands.Note("place_given_up", loading.life.name, reason))
 
     def _follow(self, row, loading, now):
         self._note_doubt(loading, now)
-        if loading.ready_after is not None:
-            self._order(row, loading, loading.ready_after, now)
-        has_place = loading.placed_at is not None
-        pause = _REPORT_INTERVAL if has_place else _ASIDE_INTERVAL
-        if now - loading.asked_at >= pause:
-            self._ask(row, loading, now)
+        if loading.order_due_after is not None:
+            self._order(row, loading, loading.order_due_after, now)
+        has_slot = loading.slot_since is not None
+        interval = _REPORT_INTERVAL if has_slot else _SET_ASIDE_INTERVAL
+        if now - loading.report_requested_at >= interval:
+            self._request_report(row, loading, now)
 
     def _note_doubt(self, loading, now):
         """Note an order that is in doubt in the event log, once for each order."""
-        if loading.ordered_at is None or loading.running_at or loading.doubt_noted:
+        if loading.ordered_at is None or loading.loading_seen_at or loading.doubt_noted:
             return
-        if now - loading.ordered_at >= _ORDER_LOST_AFTER:
+        if now - loading.ordered_at >= _ORDER_DOUBT_AFTER:
             loading.doubt_noted = True
             detail = f"version {loading.version} after {loading.ordered_after} orders"
             note = commands.Note("order_in_doubt", loading.life.name, detail)
             self._state.emit(note)
 
-    def _note_running(self, loading, now):
+    def _note_loading(self, loading, now):
         """Note that an engine loads; one that was set aside gets a slot again."""
-        loading.running_at = now
-        if loading.placed_at is None:
-            loading.placed_at = now
+        loading.loading_seen_at = now
+        if loading.slot_since is None:
+            loading.slot_since = now
             self._state.emit(commands.Note("late_load", loading.life.name))
 
-    def _ask(self, row, loading, now):
-        loading.asked_at = now
+    def _request_report(self, row, loading, now):
+        loading.report_requested_at = now
         self._state.emit(ReadReport(row.name, row.url))
 
     def _reported(self, event, now):
@@ -335,13 +335,13 @@
                 commands.Note("version_loaded", row.name, str(loading.version))
             )
             return
-        loading.ready_after = None
+        loading.order_due_after = None
         if event.busy:
             row.switching_until = now + 2 * _REPORT_INTERVAL
-            self._note_running(loading, now)
+            self._note_loading(loading, now)
             return
-        loading.running_at = None
-        if loading.placed_at is not None and self._may_order(loading, event, now):
+        loading.loading_seen_at = None
+        if loading.slot_since is not None and self._may_order(loading, event, now):
             self._order(row, loading, event.orders, now)
 
     def _may_order(self, loading, event, now):
@@ -357,17 +357,17 @@
             return True
         if loading.version < self._weights.named(loading.model):
             return True
-        return now - loading.ordered_at >= _ORDER_LOST_AFTER
+        return now - loading.ordered_at >= _ORDER_DOUBT_AFTER
 
     def _order(self, row, loading, orders, now):
         if not self._lease.may_act(now):
-            loading.ready_after = orders
+            loading.order_due_after = orders
             return
         version = self._weights.named(loading.model)
         is_repeat = (orders, version) == (loading.ordered_after, loading.version)
-        if loading.tried_at is None or not is_repeat:
-            loading.tried_at = now
-        loading.ready_after = None
+        if loading.first_ordered_at is None or not is_repeat:
+            loading.first_ordered_at = now
+        loading.order_due_after = None
         loading.doubt_noted = False
         self._lease.note_act(now)
         loading.ordered_at = now
@@ -385,11 +385,11 @@
             )
         )
 
-    def _is_over(self, row, loading, now):
+    def _is_finished(self, row, loading, now):
         """Return whether an engine needs no more orders or reports."""
         if not self._is_behind(row, loading.model):
             return True
-        return not _may_load(row) and not _is_running(loading, now)
+        return not _may_load(row) and not _is_loading(loading, now)
 
     def _is_behind(self, row, model):
         """Return whether an engine's last known version is a superseded one.
@@ -405,19 +405,19 @@
     return row.listed and not row.leaving and row.missing_since is None
 
 
-def _is_running(loading, now):
-    running_at = loading.running_at
-    return running_at is not None and now - running_at <= _STUCK_AFTER
+def _is_loading(loading, now):
+    loading_seen_at = loading.loading_seen_at
+    return loading_seen_at is not None and now - loading_seen_at <= _LOAD_LOST_AFTER
 
 
-def _is_fruitless(loading, now):
+def _shows_no_progress(loading, now):
     """Return whether an engine shows no progress in its load slot.
 
     An engine that is known to load keeps its slot for as long as that is confirmed.
     """
-    if loading.running_at is not None:
-        return not _is_running(loading, now)
-    if loading.ready_after is not None:
+    if loading.loading_seen_at is not None:
+        return not _is_loading(loading, now)
+    if loading.order_due_after is not None:
         return False
-    since = loading.tried_at or loading.placed_at
-    return now - since >= _ORDER_LOST_AFTER
+    since = loading.first_ordered_at or loading.slot_since
+    return now - since >= _ORDER_DOUBT_AFTER
--- a/packages/decide/sesamespindle/decide/routing.py
+++ b/packages/decide/sesamespindle/decide/routing.py
@@ -15,8 +15,8 @@
 # A prompt goes to its context's preferred target unless another is faster by more than
 # these seconds plus this share of the prompt's prefill time. So every entry host finds
 # the context again when its next prompt arrives, without having to ask others.
-_HOME_ADVANTAGE_SECONDS = 0.05
-_HOME_ADVANTAGE_SHARE = 0.5
+_PREFERRED_SLACK_SECONDS = 0.05
+_PREFERRED_SLACK_SHARE = 0.5
 
 
 class Routing(enum.StrEnum):
@@ -72,7 +72,7 @@
     usable = [
         target
         for target in state.targets.where("pool", row.pool)
-        if target.usable(now) and _version_fits(target, row)
+        if target.usable(now) and _version_matches(target, row)
     ]
     candidates = [target for target in usable if target.name not in avoid] or usable
     if narrow is not None:
@@ -86,12 +86,12 @@
     ]
     match state.policy.routing:
         case Routing.EXPECTED_FIRST_TOKEN:
-            return _earliest(row, places, reused_by_target)
+            return _fastest_or_preferred(row, places, reused_by_target)
         case Routing.ROUND_ROBIN:
             state.turn += 1
             return places[state.turn % len(places)]
         case Routing.AFFINITY:
-            return _home(row, places, {})
+            return _preferred(row, places, {})
         case Routing.LEAST_LOAD:
             return min(
                 places,
@@ -102,14 +102,14 @@
             )
 
 
-def _earliest(row, places, reused_by_target):
+def _fastest_or_preferred(row, places, reused_by_target):
     """Return the fastest place, or the preferred one if it is fast enough."""
     best = min(places, key=lambda place: place.expected_seconds)
-    home = _home(row, places, reused_by_target)
+    preferred = _preferred(row, places, reused_by_target)
     compute_seconds = row.tokens / best.target.prefill_rate
-    slack = _HOME_ADVANTAGE_SECONDS + _HOME_ADVANTAGE_SHARE * compute_seconds
-    if home and home.expected_seconds <= best.expected_seconds + slack:
-        return home
+    slack = _PREFERRED_SLACK_SECONDS + _PREFERRED_SLACK_SHARE * compute_seconds
+    if preferred and preferred.expected_seconds <= best.expected_seconds + slack:
+        return preferred
     return best
 
 
@@ -149,18 +149,18 @@
     )
 
 
-def _version_fits(target, row):
+def _version_matches(target, row):
     return not row.version or not target.version or target.version == row.version
 
 
 def _estimate(state, target, row, reused_tokens, now):
     reused_tokens = min(reused_tokens, row.tokens)
-    work = target.backlog(now) + row.tokens - reused_tokens
+    prefill_tokens = target.backlog(now) + row.tokens - reused_tokens
     distance = _SECONDS_BY_DISTANCE[state.distance(target.data_centre)]
-    return Place(target, distance + work / target.prefill_rate, reused_tokens)
+    return Place(target, distance + prefill_tokens / target.prefill_rate, reused_tokens)
 
 
-def _home(row, places, reused_by_target):
+def _preferred(row, places, reused_by_target):
     """Return the preferred place of a context by rendezvous hashing.
 
     None if some target is expected to reuse tokens, as the context is there already.
--- a/tests/decide/test_coldtargets.py
+++ b/tests/decide/test_coldtargets.py
@@ -20,7 +20,7 @@
 
 @pytest.mark.parametrize(("hosts", "engines"), [(70, 70), (370, 80)])
 @pytest.mark.parametrize("is_new_life", [False, True])
-def test_half_of_the_targets_that_turn_cold_at_once_get_what_they_bear(
+def test_half_of_the_targets_that_turn_cold_at_once_get_what_they_can_handle(
     hosts, engines, is_new_life
 ):
     """Targets restart together and crash if all hosts send to them at once."""
--- a/tests/decide/test_evacuations.py
+++ b/tests/decide/test_evacuations.py
@@ -25,7 +25,7 @@
     return {answer.target for answer in answers if isinstance(answer, sends.Forward)}
 
 
-def test_targets_of_an_evacuated_data_centre_get_nothing_until_it_is_taken_back():
+def test_targets_of_an_evacuated_data_centre_get_nothing_until_it_is_lifted():
     core = make_core()
     assert sent_to(core) == {"desk-1", "desk-2"}
     core.step(NOW, [evacuations.Evacuated("dc-2", 10)])
@@ -66,7 +66,7 @@
     assert sent_to(core) == {"desk-1", "desk-2"}
 
 
-def test_targets_that_are_taken_back_count_as_cold_until_their_records_say_more():
+def test_targets_of_a_lifted_evacuation_count_as_cold_until_their_records_say_more():
     """Targets turn cold while their data centre is evacuated.
 
     When the evacuation is lifted, all hosts would send to them at once.
--- a/tests/decide/test_readings.py
+++ b/tests/decide/test_readings.py
@@ -39,34 +39,38 @@
     assert first.event_of("m", 2) == weights.VersionFound("m", 2, None)
 
 
-def test_what_a_waiting_watch_tells_has_just_happened(running, read):
+def test_a_change_in_a_watch_that_waited_has_just_happened(running, read):
     run(running, NOW, NOW + 5 * SECOND)
-    told = read.watched(KIND, 11, NOW, NOW + 5 * SECOND)
-    assert told.above == 10
-    assert told.event_of("m", 2) == weights.VersionNamed("m", 2)
+    reading = read.watched(KIND, 11, NOW, NOW + 5 * SECOND)
+    assert reading.above == 10
+    assert reading.event_of("m", 2) == weights.VersionNamed("m", 2)
 
 
-def test_what_a_watch_tells_at_once_was_there_since_the_reading_before(running, read):
+def test_a_change_that_a_watch_returns_at_once_may_be_as_old_as_the_last_reading(
+    running, read
+):
     """A watch timed out after 6 s, and the next one is answered at once."""
     run(running, NOW, NOW + 6 * SECOND)
     began = NOW + 6 * SECOND
-    told = read.watched(KIND, 11, began, began + SECOND / 50)
-    assert told.event_of("m", 2) == weights.VersionFound("m", 2, NOW)
+    reading = read.watched(KIND, 11, began, began + SECOND / 50)
+    assert reading.event_of("m", 2) == weights.VersionFound("m", 2, NOW)
 
 
-def test_what_lay_here_during_a_pause_is_as_old_as_the_reading_before(running, read):
+def test_what_waited_here_during_a_pause_may_be_as_old_as_the_last_reading(
+    running, read
+):
     run(running, NOW, NOW + SECOND)
     woke = NOW + 7 * SECOND
     running.note_step(woke)
-    told = read.watched(KIND, 11, NOW, woke)
-    assert told.event_of("m", 2) == weights.VersionFound("m", 2, NOW)
+    reading = read.watched(KIND, 11, NOW, woke)
+    assert reading.event_of("m", 2) == weights.VersionFound("m", 2, NOW)
 
 
 def test_what_a_list_shows_soon_after_a_reading_has_just_happened(read):
-    told = read.listed(KIND, 11, NOW + SECOND / 2, NOW + SECOND / 2)
-    assert told.event_of("m", 2) == weights.VersionNamed("m", 2)
+    reading = read.listed(KIND, 11, NOW + SECOND / 2, NOW + SECOND / 2)
+    assert reading.event_of("m", 2) == weights.VersionNamed("m", 2)
 
 
-def test_a_peers_word_gives_no_age():
+def test_an_answer_of_a_peer_gives_no_age():
     found = readings.FROM_PEER.event_of("m", 2)
     assert found == weights.VersionFound("m", 2, None)
--- a/tests/decide/test_rollout.py
+++ b/tests/decide/test_rollout.py
@@ -25,7 +25,7 @@
     return datetime.timedelta(seconds=count)
 
 
-def made_core():
+def make_core():
     """Return a gateway that holds the lease and knows five engines."""
     me = events.Host("entry-1", "entry", "dc-1", "u", "p")
     made = gateway.Gateway(me, gateway.Terms(budgets.BudgetRule()))
@@ -47,12 +47,12 @@
 @pytest.fixture
 def core():
     """Return a gateway with the lease, and five engines with superseded weights."""
-    made = made_core()
+    made = make_core()
     made.step(NOW, [weights.VersionNamed("m", 2)])
     return made
 
 
-def asked(commands):
+def report_requests(commands):
     return [item.target for item in commands if isinstance(item, rollout.ReadReport)]
 
 
@@ -65,11 +65,11 @@
 
 
 def test_two_fifths_of_the_engines_load_at_once(core):
-    assert len(asked(core.step(NOW, [events.Tick()]))) == 2
+    assert len(report_requests(core.step(NOW, [events.Tick()]))) == 2
 
 
 def test_an_order_carries_the_epoch_and_the_orders_before_it(core):
-    name = asked(core.step(NOW, [events.Tick()]))[0]
+    name = report_requests(core.step(NOW, [events.Tick()]))[0]
     (order,) = orders(core.step(NOW, [report(name, count=3)]))
     assert (order.version, order.epoch, order.expected_orders) == (2, 1, 3)
 
@@ -80,7 +80,7 @@
     The engine checks the count of earlier orders. So at most one of both orders takes
     effect, whichever arrives first.
     """
-    name = asked(core.step(NOW, [events.Tick()]))[0]
+    name = report_requests(core.step(NOW, [events.Tick()]))[0]
     (first,) = orders(core.step(NOW, [report(name)]))
     assert orders(core.step(NOW + seconds(0.3), [report(name)])) == []
     (second,) = orders(core.step(NOW + seconds(1.3), [report(name)]))
@@ -88,20 +88,20 @@
 
 
 def test_a_busy_engine_is_not_ordered(core):
-    name = asked(core.step(NOW, [events.Tick()]))[0]
+    name = report_requests(core.step(NOW, [events.Tick()]))[0]
     assert orders(core.step(NOW, [report(name, busy=True)])) == []
 
 
-def test_an_engine_that_has_the_version_makes_room_for_the_next(core):
-    names = asked(core.step(NOW, [events.Tick()]))
+def test_an_engine_that_has_the_version_frees_its_slot(core):
+    names = report_requests(core.step(NOW, [events.Tick()]))
     core.step(NOW, [report(names[0], version=2)])
-    following = asked(core.step(NOW, [events.Tick()]))
+    following = report_requests(core.step(NOW, [events.Tick()]))
     assert len(following) == 1
     assert not set(following) & set(names)
 
 
 def test_nothing_is_ordered_once_the_lease_is_lost(core):
-    name = asked(core.step(NOW, [events.Tick()]))[0]
+    name = report_requests(core.step(NOW, [events.Tick()]))[0]
     late = NOW + seconds(2)
     assert orders(core.step(late, [events.Tick(), report(name)])) == []
 
@@ -117,14 +117,14 @@
     lease's record says that it is active. A report that arrives meanwhile isn't
     requested again.
     """
-    core = made_core()
+    core = make_core()
     now = NOW + seconds(0.6)
     (idle,) = writes(core.step(now, [events.Tick()]))
     assert idle.record.idle
     core.step(now, [lease.LeaseWritten(idle.record, 2)])
     now += seconds(0.1)
     commands = core.step(now, [weights.VersionNamed("m", 2), events.Tick()])
-    name = asked(commands)[0]
+    name = report_requests(commands)[0]
     (active,) = writes(commands)
     assert not active.record.idle
     assert orders(core.step(now, [report(name, count=3)])) == []
@@ -157,8 +157,8 @@
         self.core = core
         self.at = 0.0
         # Engines that answer no report request, and engines that lose their orders.
-        self.silent = set()
-        self.deaf = set()
+        self.unresponsive = set()
+        self.losing_orders = set()
         self.version_by_name = {}
         self.count_by_name = {}
         self.busy_until_by_name = {}
@@ -190,7 +190,7 @@
                     self._report(command.target)
                 case rollout.OrderVersion():
                     self.orders.append((self.at, command))
-                    if command.target not in self.deaf:
+                    if command.target not in self.losing_orders:
                         self.load(command)
 
     def load(self, order):
@@ -202,7 +202,7 @@
             self.version_by_name[order.target] = order.version
 
     def _report(self, name):
-        if name in self.silent:
+        if name in self.unresponsive:
             self.step(rollout.ReportMissing(name))
             return
         busy = self.busy_until_by_name.get(name, 0.0) > self.at
@@ -227,13 +227,13 @@
     return Engines(core)
 
 
-def test_engines_that_lose_their_orders_make_room_for_the_others(engines):
+def test_engines_that_lose_their_orders_yield_their_slots(engines):
     """The first engines show nothing of their orders, which arrive seconds late.
 
     If they held all load slots for 4 s and came first again after that, the other three
     would get their first order only 8 to 12 s after the announcement.
     """
-    engines.deaf = {"llm-0", "llm-1"}
+    engines.losing_orders = {"llm-0", "llm-1"}
     engines.run(8)
     first = engines.first_order_by_name()
     assert set(first) == {f"llm-{number}" for number in range(ENGINES)}
@@ -241,8 +241,8 @@
     assert {f"llm-{n}" for n in (2, 3, 4)} <= set(engines.version_by_name)
 
 
-def test_engines_that_answer_no_report_make_room_for_the_others(engines):
-    engines.silent = {"llm-0", "llm-1"}
+def test_engines_that_answer_no_report_request_yield_their_slots(engines):
+    engines.unresponsive = {"llm-0", "llm-1"}
     engines.run(8)
     first = engines.first_order_by_name()
     assert set(first) == {"llm-2", "llm-3", "llm-4"}
@@ -250,19 +250,19 @@
 
 
 def test_all_engines_get_an_order_soon_where_none_shows_its_order(engines):
-    engines.deaf = {f"llm-{number}" for number in range(ENGINES)}
+    engines.losing_orders = {f"llm-{number}" for number in range(ENGINES)}
     engines.run(2.6)
     assert len(engines.first_order_by_name()) == ENGINES
 
 
-def test_an_engine_that_made_room_gets_its_turn_again(engines):
+def test_an_engine_that_was_set_aside_gets_its_turn_again(engines):
     """An engine's order was lost, so it must get another one, with the same count.
 
     The first order may still be carried out. The engine accepts one of both.
     """
-    engines.deaf = {"llm-0"}
+    engines.losing_orders = {"llm-0"}
     engines.run(4)
-    engines.deaf = set()
+    engines.losing_orders = set()
     engines.run(8)
     assert engines.version_by_name["llm-0"] == 2
     given = [order for _, order in engines.orders if order.target == "llm-0"]
@@ -271,14 +271,14 @@
 
 
 def test_orders_in_doubt_are_given_again_no_sooner_than_they_are_in_doubt(engines):
-    engines.deaf = {f"llm-{number}" for number in range(ENGINES)}
+    engines.losing_orders = {f"llm-{number}" for number in range(ENGINES)}
     engines.run(12)
-    for name in engines.deaf:
+    for name in engines.losing_orders:
         at = [at for at, order in engines.orders if order.target == name]
         assert all(later - one >= 1.2 for one, later in itertools.pairwise(at))
 
 
-def test_engines_that_load_hold_their_places(engines):
+def test_engines_that_load_keep_their_slots(engines):
     engines.LOADING_SECONDS = 6.0
     engines.run(5.5)
     assert len(engines.first_order_by_name()) == 2
@@ -287,7 +287,7 @@
     assert set(engines.version_by_name.values()) == {2}
 
 
-def test_an_accepted_order_holds_its_place_without_reports(engines):
+def test_an_engine_with_an_accepted_order_keeps_its_slot_without_reports(engines):
     """An engine accepts its order and becomes unreachable.
 
     It loads, so it has to keep its load slot though it can't report that.
@@ -295,7 +295,7 @@
     engines.run(0.1)
     for _, order in engines.orders:
         name = order.target
-        engines.silent.add(name)
+        engines.unresponsive.add(name)
         engines.step(rollout.OrderAccepted(name, order.expected_orders))
     engines.run(3.5)
     assert len(engines.first_order_by_name()) == 2
@@ -303,14 +303,14 @@
     assert len(engines.first_order_by_name()) == ENGINES
 
 
-def test_a_load_that_begins_late_takes_a_place(engines):
+def test_a_load_that_starts_late_takes_a_slot(engines):
     """An order is carried out after its engine has lost its load slot.
 
     One engine more than usual loads at once then. No other engine may start until a
     slot is free.
     """
     engines.LOADING_SECONDS = 4.0
-    engines.deaf = {"llm-0", "llm-1"}
+    engines.losing_orders = {"llm-0", "llm-1"}
     engines.run(1.5)
     orders_by_name = {order.target: order for _, order in engines.orders}
     assert set(orders_by_name) == {"llm-0", "llm-1", "llm-2", "llm-3"}
@@ -321,24 +321,24 @@
     assert engines.most_at_once == 3
 
 
-def test_an_engine_that_made_room_is_looked_at_less_often(engines):
+def test_reports_of_an_engine_that_was_set_aside_are_read_less_often(engines):
     engines.LOADING_SECONDS = 20.0
-    engines.silent = {"llm-0", "llm-1"}
+    engines.unresponsive = {"llm-0", "llm-1"}
     engines.run(1.5)
     before = engines.reads.count("llm-0")
     engines.run(7.5)
     assert 9 <= engines.reads.count("llm-0") - before <= 11
 
 
-def test_doubts_and_places_are_noted_once_each(engines):
-    engines.deaf = {"llm-0", "llm-1"}
+def test_doubts_and_lost_slots_are_noted_once_each(engines):
+    engines.losing_orders = {"llm-0", "llm-1"}
     engines.run(1.4)
     assert engines.noted("order_in_doubt") == ["llm-0", "llm-1"]
     assert engines.noted("place_given_up") == ["llm-0", "llm-1"]
 
 
-def test_a_place_that_nobody_waits_for_is_not_given_up(engines):
-    engines.deaf = {"llm-0"}
+def test_a_slot_that_no_engine_waits_for_is_kept(engines):
+    engines.losing_orders = {"llm-0"}
     engines.run(12)
     assert len(engines.noted("place_given_up")) <= 1
     assert len([o for _, o in engines.orders if o.target == "llm-0"]) >= 5
@@ -359,25 +359,25 @@
     assert engines.version_by_name["llm-0"] == 2
 
 
-def test_an_engine_that_starts_again_under_way_is_ordered_in_its_new_life():
+def test_an_engine_that_restarts_while_it_loads_is_ordered_again():
     """An engine crashes while it loads, and restarts with its earlier weights.
 
     Its count of orders starts again at 0, so the order to its earlier incarnation
     doesn't apply.
     """
-    core = made_core()
+    core = make_core()
     one = targetlist.ListedTarget(
         "llm-0", "llm", "a:0", "dc-1", 8, False, {"m": 1}, 5, born=1000
     )
     core.step(NOW, [targetlist.TargetsListed((one,))])
     core.step(NOW, [weights.VersionNamed("m", 2)])
-    (name,) = asked(core.step(NOW, [events.Tick()]))
+    (name,) = report_requests(core.step(NOW, [events.Tick()]))
     before = rollout.Reported(name, 4, False, {"m": 1}, 1000)
     assert orders(core.step(NOW, [before]))
     again = dataclasses.replace(one, revision=6, born=2000)
     core.step(NOW, [targetlist.TargetChanged(again)])
     now = NOW + seconds(0.1)
-    assert asked(core.step(now, [events.Tick()])) == [name]
+    assert report_requests(core.step(now, [events.Tick()])) == [name]
     assert orders(core.step(now, [before])) == []
     reported = rollout.Reported(name, 0, False, {"m": 1}, 2000)
     (order,) = orders(core.step(now, [reported]))
@@ -398,38 +398,38 @@
     The newer order has the same count, so the engine accepts one of both. If that is
     the older one, the next report shows it.
     """
-    engines.deaf = {"llm-0", "llm-1"}
+    engines.losing_orders = {"llm-0", "llm-1"}
     engines.run(0.5)
     engines.step(weights.VersionNamed("m", 3))
-    engines.deaf = set()
+    engines.losing_orders = set()
     engines.run(0.9)
     newest = [order for at, order in engines.orders if at >= 0.5]
     assert {order.target for order in newest} == {"llm-0", "llm-1"}
     assert {(order.version, order.expected_orders) for order in newest} == {(3, 0)}
 
 
-def test_a_place_is_kept_while_the_lease_is_not_yet_active():
+def test_a_slot_is_kept_while_the_lease_is_not_yet_active():
     """The platform takes two seconds to confirm that the lease is active.
 
     The engines have answered with their reports, so they must keep their load slots.
     """
-    core = made_core()
+    core = make_core()
     now = NOW + seconds(0.6)
     (idle,) = writes(core.step(now, [events.Tick()]))
     core.step(now, [lease.LeaseWritten(idle.record, 2)])
     core.step(now, [weights.VersionNamed("m", 2)])
-    names = asked(core.step(now, [events.Tick()]))
+    names = report_requests(core.step(now, [events.Tick()]))
     core.step(now, [report(name) for name in names])
     out = []
     for step in range(1, 14):
         out += core.step(now + seconds(0.1 * step), [events.Tick()])
     assert core.lease.is_held(now + seconds(1.3))
-    assert set(asked(out)) == set(names)
+    assert set(report_requests(out)) == set(names)
 
 
-def test_an_engine_that_turns_out_not_to_load_is_in_doubt_like_others(engines):
+def test_an_engine_that_turns_out_not_to_load_loses_its_slot_like_others(engines):
     """An engine accepts its order, and its reports show nothing of a load."""
-    engines.deaf = {"llm-0", "llm-1"}
+    engines.losing_orders = {"llm-0", "llm-1"}
     engines.run(0.1)
     for _, order in list(engines.orders):
         engines.step(rollout.OrderAccepted(order.target, order.expected_orders))
