--- a/packages/decide/sesamespindle/decide/coldtargets.py
+++ b/packages/decide/sesamespindle/decide/coldtargets.py
@@ -33,7 +33,7 @@
         self._state = state
         self._crashes = crashes
         self._settled_after = settled_after
-        self._sender_by_life = {}
+        self._sender_by_incarnation = {}
         self._senders_view = None
 
     def narrow(self, rows, service, now):
@@ -112,7 +112,7 @@
             return False
         return now - self._state.pauses.started_at >= self._settled_after
 
-    def _sender(self, life):
+    def _sender(self, incarnation):
         """Return the name of the host that sends to a cold incarnation of a target.
 
         Dead hosts are not left out: hosts that can't reach each other consider each
@@ -121,8 +121,10 @@
         """
         if self._senders_view != self._state.view:
             self._senders_view = self._state.view
-            self._sender_by_life.clear()
-        if life not in self._sender_by_life:
+            self._sender_by_incarnation.clear()
+        if incarnation not in self._sender_by_incarnation:
             names = [entry.name for entry in self._state.entries]
-            self._sender_by_life[life] = hashing.first(f"cold/{life.name}", names)
-        return self._sender_by_life[life]
+            self._sender_by_incarnation[incarnation] = hashing.first(
+                f"cold/{incarnation.name}", names
+            )
+        return self._sender_by_incarnation[incarnation]
--- a/packages/decide/sesamespindle/decide/rollout.py
+++ b/packages/decide/sesamespindle/decide/rollout.py
@@ -226,16 +226,16 @@
     def _assign_slots(self, rows, model, now):
         """Give load slots to waiting engines of one service, as many as may load.
 
-        Guards against engines that get no order while others hold all slots, which
-        answer no report request or show nothing of their orders: with slots that end
-        only after seconds and then go to the same engines first, the last of five
-        engines got its first order 11.9 s after the announcement. So such a slot goes
-        to an engine that waits, first to one that wasn't tried; then all five have an
-        order within 2.6 s where two show nothing.
-
-        An order in doubt may still be carried out, so one engine more than the share
-        may then load at once. That slows loads down, but otherwise the waiting engines
-        wouldn't have started at all.
+        Guards against engines that get no order because others hold all slots, which
+        answer no report request or show nothing of their orders. If those kept their
+        slots for seconds and then got them again before the others, the last of five
+        engines got its first order 11.9 s after the announcement. So their slots go to
+        waiting engines, first to those not tried yet; then all five get an order
+        within 2.6 s, where two show nothing.
+
+        An order in doubt may still be carried out, so one engine more than permitted
+        may load at once. That slows loads down, but otherwise the waiting engines
+        wouldn't start at all.
         """
         max_loading = max(1, int(len(rows) * _CONCURRENT_SHARE))
         known = [self._loading_by_target.get(row.name) for row in rows]
--- a/packages/decide/sesamespindle/decide/storerelay.py
+++ b/packages/decide/sesamespindle/decide/storerelay.py
@@ -85,7 +85,7 @@
         """
         if all(row.is_followed for row in self._stores.rows):
             return ()
-        word_by_store = {word.store: word for word in their_words}
+        state_by_store = {peer_state.store: peer_state for peer_state in their_words}
         return tuple(
             gossip.StoreWord(
                 row.name,
@@ -97,7 +97,7 @@
             )
             for row in self._stores.rows
             if row.status_at is not None
-            and not _is_up_to_date(word_by_store.get(row.name), row)
+            and not _is_up_to_date(state_by_store.get(row.name), row)
         )
 
     def news_for(self, words):
@@ -110,23 +110,23 @@
 
         Returns
         -------
-        news : tuple of gossip.StoreNews
+        updates : tuple of gossip.StoreNews
             One for each store.
         """
-        word_by_store = {word.store: word for word in words}
-        news, parts = [], 0
+        state_by_store = {peer_state.store: peer_state for peer_state in words}
+        updates, parts = [], 0
         for row in self._stores.rows:
-            word = word_by_store.get(row.name)
+            peer_state = state_by_store.get(row.name)
             if row.status_at is None or (
-                word is not None and _knows_all_parts(word, row)
+                peer_state is not None and _knows_all_parts(peer_state, row)
             ):
                 continue
-            item = _news_of(row, word)
-            parts += len(item.parts)
-            if news and parts > _MAX_PARTS:
+            update = _update_for(row, peer_state)
+            parts += len(update.parts)
+            if updates and parts > _MAX_PARTS:
                 break
-            news.append(item)
-        return tuple(news)
+            updates.append(update)
+        return tuple(updates)
 
     def hear(self, message):
         """Merge what a peer has sent of stores that it or another host follows.
@@ -136,16 +136,24 @@
         message : gossip.GossipMessage
             The peer's message.
         """
-        word_by_store = {word.store: word for word in message.store_words}
-        for item in message.store_news:
-            row = self._stores.rows.get(item.store)
-            word = word_by_store.get(item.store)
-            if row is not None and word is not None:
-                _apply_news(item, word, row)
-        for word in message.store_words:
-            row = self._stores.rows.get(word.store)
-            if row is not None and word.boot == row.boot and _is_later(word, row):
-                row.note_status(word.told_at, word.is_silent, word.clock_lead)
+        state_by_store = {
+            peer_state.store: peer_state for peer_state in message.store_words
+        }
+        for update in message.store_news:
+            row = self._stores.rows.get(update.store)
+            peer_state = state_by_store.get(update.store)
+            if row is not None and peer_state is not None:
+                _apply_update(update, peer_state, row)
+        for peer_state in message.store_words:
+            row = self._stores.rows.get(peer_state.store)
+            if (
+                row is not None
+                and peer_state.boot == row.boot
+                and _is_later(peer_state, row)
+            ):
+                row.note_status(
+                    peer_state.told_at, peer_state.is_silent, peer_state.clock_lead
+                )
 
     def _choose_followers(self):
         me = self._state.me
@@ -161,55 +169,55 @@
         )
 
 
-def _is_up_to_date(word, row):
-    """Return whether a peer's state of a store is as complete and recent as ours.
+def _is_up_to_date(peer_state, row):
+    """Return whether what a peer knows of a store is as complete and recent as here.
 
-    `word` is the peer's `gossip.StoreWord`, or None if it has sent none.
+    `peer_state` is the peer's `gossip.StoreWord`, or None if it has sent none.
     """
     return (
-        word is not None
-        and _knows_all_parts(word, row)
-        and word.told_at >= row.status_at
+        peer_state is not None
+        and _knows_all_parts(peer_state, row)
+        and peer_state.told_at >= row.status_at
     )
 
 
-def _is_later(word, row):
-    return row.status_at is None or word.told_at > row.status_at
+def _is_later(peer_state, row):
+    return row.status_at is None or peer_state.told_at > row.status_at
 
 
-def _knows_all_parts(word, row):
+def _knows_all_parts(peer_state, row):
     """Return whether a peer knows all the parts of a store that are known here.
 
     If the peer knows another start of the store, the start that was observed last
     counts as the current one.
     """
-    if word.boot == row.boot:
-        return word.position >= row.position
-    return word.told_at >= row.status_at
+    if peer_state.boot == row.boot:
+        return peer_state.position >= row.position
+    return peer_state.told_at >= row.status_at
 
 
-def _news_of(row, word):
+def _update_for(row, peer_state):
     """Return the changes since the peer's position, or the whole list."""
-    if word is not None and word.boot == row.boot:
-        changes = row.changes_since(word.position)
+    if peer_state is not None and peer_state.boot == row.boot:
+        changes = row.changes_since(peer_state.position)
         if changes is not None:
             return gossip.StoreNews(
-                row.name, row.boot, word.position, row.position, False, changes
+                row.name, row.boot, peer_state.position, row.position, False, changes
             )
     return gossip.StoreNews(row.name, row.boot, 0, row.position, True, row.whole_list())
 
 
-def _apply_news(item, word, row):
+def _apply_update(update, peer_state, row):
     """Apply a peer's news of a store, unless this host knows something later.
 
     Guards against a restarted store whose earlier parts come back by a peer that
     hasn't noticed the restart: another start than the known one is accepted only as a
     whole list that was observed later.
     """
-    if item.boot == row.boot:
-        fits = item.whole_list or item.since <= row.position
-        if fits and item.position > row.position:
-            row.apply(item)
-    elif item.whole_list and _is_later(word, row):
-        row.apply(item)
-        row.note_status(word.told_at, word.is_silent, word.clock_lead)
+    if update.boot == row.boot:
+        fits = update.whole_list or update.since <= row.position
+        if fits and update.position > row.position:
+            row.apply(update)
+    elif update.whole_list and _is_later(peer_state, row):
+        row.apply(update)
+        row.note_status(peer_state.told_at, peer_state.is_silent, peer_state.clock_lead)
--- a/tests/decide/test_weights.py
+++ b/tests/decide/test_weights.py
@@ -40,9 +40,9 @@
     sender.step(at, [events.Tick()])
     message = gossip.GossipMessage("entry-2", "dc-1", named=sender.state.namings.told)
     raw = peermessages.gossip_to_wire(message, 0, at).SerializeToString()
-    read = type(peermessages.gossip_to_wire(message, 0, at)).FromString(raw)
-    heard = peermessages.gossip_from_wire(read, at)
-    receiver.step(at, [gossip.GossipAnswered("10.0.0.2:81", heard)])
+    parsed = type(peermessages.gossip_to_wire(message, 0, at)).FromString(raw)
+    decoded = peermessages.gossip_from_wire(parsed, at)
+    receiver.step(at, [gossip.GossipAnswered("10.0.0.2:81", decoded)])
 
 
 def test_a_host_that_starts_learns_a_versions_age_from_peers():
@@ -148,8 +148,8 @@
     received = (namings.Naming("m", 2, 1, NOW, True),)
     message = gossip.GossipMessage("entry-2", "dc-1", named=received)
     raw = peermessages.gossip_to_wire(message, 0, NOW)
-    read = peermessages.gossip_from_wire(raw, NOW + 4 * SECOND, sent_after=NOW)
-    assert read.named == received
+    parsed = peermessages.gossip_from_wire(raw, NOW + 4 * SECOND, sent_after=NOW)
+    assert parsed.named == received
 
 
 def test_an_unknown_version_in_between_makes_older_weights_too_old():
