--- a/packages/decide/sesamespindle/decide/promptplacing.py
+++ b/packages/decide/sesamespindle/decide/promptplacing.py
@@ -1,29 +1,38 @@
-"""Which engine gets a prompt, and what it fetches and saves."""
+"""Selects the engine of a prompt, and the KV cache that it fetches and saves.
+
+A prompt consists of parts. All but the last are segments that other prompts may share
+as a prefix; the last one is the prompt's own.
+"""
 
 import dataclasses
 
 from sesamespindle.decide import kvstores, placement, world
 
-# Engines that a prompt's choice is made among: the first in its context's rank, as long
-# as one of them has room. More would find a shorter queue, but news of queues is a
-# second old, and all hosts would find the same one.
-_CONSIDERED = 8
+# Number of engines that are compared for a prompt: the first ones by the rendezvous
+# order of its context, as long as the one chosen has free memory. A comparison of more
+# engines would find a shorter queue, but what is known of queues is a second old, and
+# all hosts would choose the same engine.
+_MAX_COMPARED = 8
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Place:
-    """Where a prompt goes.
+    """The placement of a prompt.
 
     Attributes
     ----------
+    row : world.TargetRow
+        The engine.
     version : int
         The weight version that the engine is thought to run.
     salt : str
-        What its KV cache is kept under.
+        Keeps KV cache of other weights and isolated accounts apart, see `_salt`.
+    transfers : kvstores.Transfers
+        Where the engine fetches and saves the prompt's parts.
     read_tokens : int
-        Tokens that the engine is expected to read.
+        Tokens that the engine is expected to prefill.
     at_home : bool
-        Whether prompts of its context usually go there.
+        Whether the engine is the preferred one of the prompt's context.
     """
 
     row: world.TargetRow
@@ -35,16 +44,16 @@
 
 
 class PromptPlacing:
-    """Places prompts by what engines and stores hold.
+    """Selects engines by the KV cache that engines and stores hold.
 
     Parameters
     ----------
     state : world.World
         The shared tables.
     weights : weights.Weights
-        Which version of each model is named.
+        The announced weight version of each model.
     stores : kvstores.KvStores
-        What may be fetched.
+        The KV cache that may be fetched from stores.
     """
 
     def __init__(self, state, weights, stores):
@@ -53,112 +62,138 @@
         self._stores = stores
 
     def timely(self, flight, engines, rows, now):
-        """Return the engines at which a prompt can begin while their weights may.
+        """Return the engines at which a prompt can begin in time for their weights.
 
-        Guards against runs that begin on weights whose time is over: one is sent
-        in time and then waits at the engine. Where the expected wait goes beyond
-        the time, the engine counts as one whose time is over already.
+        Guards against runs that begin on superseded weights after the time allowed
+        for those: a prompt is sent in time and then waits too long at its engine. An
+        engine is left out if its expected wait already goes beyond that time.
         """
         model = flight.request.model
         if not any(self._weights.is_behind(row, model) for row in rows):
             return rows
-        work = self._work(flight, engines, self._home(flight), now)
+        work = self._work(flight, engines, self._preferred_engine(flight), now)
 
         def begins_in_time(row):
             running = self._weights.running(row, model)
-            replaced = self._weights.replacement(running, model)
-            if replaced is None:
+            newer = self._weights.replacement(running, model)
+            if newer is None:
                 return True
-            if now >= replaced.send_until:
+            if now >= newer.send_until:
                 return False
-            return placement.latest_begin(row, work, now) <= replaced.begun_by
+            return placement.latest_begin(row, work, now) <= newer.begun_by
 
         return [row for row in rows if begins_in_time(row)]
 
     def choose(self, flight, engines, rows, now):
-        """Return the `Place` for a prompt at one of some engines, or None for none."""
+        """Return the `Place` for a prompt, or None if `rows` is empty.
+
+        Parameters
+        ----------
+        flight : flights.Flight
+            The prompt.
+        engines : routes.Engines
+            What the engines of its service have in common.
+        rows : list of world.TargetRow
+            The engines that may be used.
+        now : datetime.datetime
+            The current time.
+        """
         request = flight.request
-        home = self._home(flight)
-        work = self._work(flight, engines, home, now)
+        preferred = self._preferred_engine(flight)
+        work = self._work(flight, engines, preferred, now)
 
-        def loss_of(row):
-            return self._weights.loss(row, request.model, now)
+        def version_cost(row):
+            return self._weights.cost(row, request.model, now)
 
         rows = placement.ranked(rows, request.affinity or request.request_id)
-        considered = self._considered(rows, request.model)
-        row = placement.choose_engine(considered, work, now, loss_of, home)
+        compared = self._compared(rows, request.model)
+        row = placement.choose_engine(compared, work, now, version_cost, preferred)
         if row is None:
             return None
-        if not placement.has_room(row, work, now):
-            row = placement.choose_engine(rows, work, now, loss_of, home)
+        if not placement.has_free_memory(row, work, now):
+            row = placement.choose_engine(rows, work, now, version_cost, preferred)
         version = self._weights.running(row, request.model)
         salt = _salt(flight, version)
         effort = work.effort_at(row)
-        transfers = self._stores.plan(engines, row, home, salt, request.prompt, now)
+        transfers = self._stores.plan(
+            engines, row, preferred, salt, request.prompt, now
+        )
         row.note_read(salt, request.prompt[:-1], engines.kv_capacity)
-        return Place(row, version, salt, transfers, effort.read_tokens, row is home)
+        return Place(
+            row, version, salt, transfers, effort.prefill_tokens, row is preferred
+        )
 
-    def _considered(self, rows, model):
-        """Return the engines of a context's rank that are compared.
+    def _compared(self, rows, model):
+        """Return the engines to compare, out of all in a context's rendezvous order.
 
-        While weights are replaced the first that have the new ones are among them.
+        If any of the first ones runs superseded weights, the first of the rest that
+        run the new weights are compared as well.
         """
-        considered = rows[:_CONSIDERED]
-        if not any(self._weights.is_behind(row, model) for row in considered):
-            return considered
+        compared = rows[:_MAX_COMPARED]
+        if not any(self._weights.is_behind(row, model) for row in compared):
+            return compared
         current = [
-            row for row in rows[_CONSIDERED:] if not self._weights.is_behind(row, model)
+            row
+            for row in rows[_MAX_COMPARED:]
+            if not self._weights.is_behind(row, model)
         ]
-        return considered + current[:_CONSIDERED]
+        return compared + current[:_MAX_COMPARED]
 
-    def _work(self, flight, engines, home, now):
-        """Return what `placement` needs to know of a prompt."""
-        sources = self._stores.sources(engines, now)
+    def _work(self, flight, engines, preferred, now):
+        """Return the `placement.Work` of a prompt."""
+        import_times = self._stores.import_times(engines, now)
         return placement.Work(
             flight.request.held_tokens,
             engines.kv_capacity,
             flight.route.latency_goal.total_seconds(),
-            lambda row: self._effort_at(flight, engines, row, home, sources),
+            lambda row: self._effort_at(flight, engines, row, preferred, import_times),
         )
 
-    def _home(self, flight):
-        """Return the engine where prompts of a context usually go, or None."""
+    def _preferred_engine(self, flight):
+        """Return the preferred engine of a prompt's context, or None."""
         affinity = flight.request.affinity
         if not affinity:
             return None
         rows = self._state.targets.where("pool", flight.service)
         staying = [row for row in rows if row.stays]
-        return placement.home(staying, affinity)
+        return placement.preferred_engine(staying, affinity)
 
-    def _effort_at(self, flight, engines, row, home, sources):
-        """Return what the prompt is expected to cost at an engine.
+    def _effort_at(self, flight, engines, row, preferred, import_times):
+        """Return the `placement.Effort` of a prompt at an engine.
 
-        A part is there if this daemon had the engine read it lately, and can
-        be brought if a store or its home holds it; all after the first part
-        that is neither has to be read.
+        The engine holds a part if this daemon recently had it prefill that part. It
+        can import a part that a store or the preferred engine holds. KV cache is
+        reusable only as a prefix, so the engine prefills everything from the first
+        part on that it neither holds nor can import.
         """
         request = flight.request
         salt = _salt(flight, self._weights.running(row, request.model))
-        seconds, left = 0.0, request.prompt_tokens
+        seconds, uncached_tokens = 0.0, request.prompt_tokens
         for part in request.prompt[:-1]:
             key = salt, part.part_id
             if key not in row.read_parts:
-                brought = sources.seconds(salt, part, row.data_centre)
-                if brought is None and home is not None and key in home.read_parts:
-                    brought = kvstores.engine_seconds(engines, home, row, part.tokens)
-                if brought is None:
+                import_seconds = import_times.seconds(salt, part, row.data_centre)
+                if (
+                    import_seconds is None
+                    and preferred is not None
+                    and key in preferred.read_parts
+                ):
+                    import_seconds = kvstores.engine_transfer_seconds(
+                        engines, preferred, row, part.tokens
+                    )
+                if import_seconds is None:
                     break
-                seconds += brought
-            left -= part.tokens
-        return placement.Effort(left, seconds)
+                seconds += import_seconds
+            uncached_tokens -= part.tokens
+        return placement.Effort(uncached_tokens, seconds)
 
 
 def _salt(flight, version):
-    """Return what KV cache is kept under: the weights, and an isolated account.
+    """Return the salt of a prompt's KV cache: the weights, and an isolated account.
 
-    The engine refuses a request whose expected version isn't its own, so a
-    request can't read what other weights made, nor across accounts where one
-    of them is isolated.
+    The engine refuses a request whose expected version isn't its own. So a request
+    can't reuse KV cache that other weights computed, nor that of another account
+    where one of the two is isolated.
     """
     account = flight.account
     if account is not None and account.isolated:
--- a/packages/decide/sesamespindle/decide/storerelay.py
+++ b/packages/decide/sesamespindle/decide/storerelay.py
@@ -1,25 +1,32 @@
-"""Hearing from peers what KV stores hold, where not every host can ask them."""
+"""Exchanges with peers what KV stores hold, where not every host can ask the stores.
+
+A store holds a limited number of requests for its changes at once (`followers` of
+`routes.KvStore`) and refuses more. A host that asks a store for its changes is a
+follower of it.
+"""
 
 from sesamespindle.decide import gossip, hashing
 
-# Hosts of each data centre that follow a store, so that one may be lost. Questions
-# to a store then grow with the data centres and not with the hosts.
+# Hosts of each data centre that follow a store, so that one of them may be lost. The
+# requests to a store then grow with the number of data centres, not of hosts.
 FOLLOWERS = 2
-# Parts that are told in one message, besides those of its first store: some 40 KB.
+# The most parts in one message, some 40 KB. Only the first store in a message may have
+# more.
 _MAX_PARTS = 1500
 
 
 class StoreRelay:
-    """Chooses who follows the KV stores, and passes on what followers heard.
+    """Chooses the followers of the KV stores, and gossips what they learn.
 
-    Guards against stores that are asked by every host: 195 hosts before 21 stores
-    with 12 places each ask 2,000 times a second at the longest pause, and 20 hosts
-    had 5,000 refusals and short questions a minute charged as probes. Where a store
-    has places for all hosts each follows it itself. Else two of each data centre do,
-    and their peers there get what they lack with the rounds of gossip.
+    Guards against stores that every host asks. 195 hosts and 21 stores that hold 12
+    requests each make 2,000 requests a second even at the longest pause between
+    requests; with 20 hosts, 5,000 refused or short requests a minute were charged as
+    probes. If a store can hold a request of every host, each host follows it.
+    Otherwise two hosts of each data centre do, and send their peers there what those
+    lack in the rounds of gossip.
 
-    What is told this way is advice: a part that has gone meanwhile is a miss at the
-    store, and a store that started anew is known by its boot.
+    What a peer sends may be out of date without harm: a fetch of a part that has gone
+    meanwhile is a miss at the store, and a restarted store is recognized by its boot.
 
     Parameters
     ----------
@@ -38,127 +45,179 @@
     def followed(self):
         """Return the names of the stores that this host follows itself."""
         if not self._state.knows_entries:
-            # Alone in the table, each of many that start would follow them all.
+            # When many hosts start at once, each knows only itself at first and would
+            # follow all stores.
             return frozenset()
         view = self._state.view, tuple(row.name for row in self._stores.rows)
         if view != self._view:
             self._view = view
-            self._choose()
+            self._choose_followers()
         return self._followed
 
-    def followers(self, places):
-        """Return how many hosts follow a store with so many places."""
+    def followers(self, max_requests):
+        """Return how many hosts follow a store.
+
+        Parameters
+        ----------
+        max_requests : int
+            Requests for changes that the store holds at once.
+        """
         entries = self._state.live_entries()
-        if len(entries) <= places:
+        if len(entries) <= max_requests:
             return len(entries)
         count = 0
         for name in {row.data_centre for row in entries}:
             count += min(FOLLOWERS, sum(row.data_centre == name for row in entries))
         return count
 
-    def words(self, theirs=()):
-        """Return up to where each store is known here, for a peer.
+    def words(self, their_words=()):
+        """Return what this host knows of each store's state, for a peer.
 
         Parameters
         ----------
-        theirs : tuple of gossip.StoreWord
-            What the peer has told; what it knows as well is left out.
+        their_words : tuple of gossip.StoreWord
+            What the peer has sent. Stores of which it knows as much are left out.
+
+        Returns
+        -------
+        words : tuple of gossip.StoreWord
+            Empty if this host follows all stores itself.
         """
         if all(row.is_followed for row in self._stores.rows):
             return ()
-        word_by_store = {word.store: word for word in theirs}
+        state_by_store = {peer_state.store: peer_state for peer_state in their_words}
         return tuple(
             gossip.StoreWord(
                 row.name,
                 row.boot,
                 row.position,
-                row.told_at,
+                row.status_at,
                 row.heard_at is None,
                 row.clock_lead,
             )
             for row in self._stores.rows
-            if row.told_at is not None
-            and not _is_as_late(word_by_store.get(row.name), row)
+            if row.status_at is not None
+            and not _is_up_to_date(state_by_store.get(row.name), row)
         )
 
     def news_for(self, words):
-        """Return what a peer with these words lacks, as far as one message may."""
-        word_by_store = {word.store: word for word in words}
-        news, parts = [], 0
+        """Return what a peer lacks of the stores' parts, as much as fits a message.
+
+        Parameters
+        ----------
+        words : tuple of gossip.StoreWord
+            What the peer knows.
+
+        Returns
+        -------
+        updates : tuple of gossip.StoreNews
+            One for each store.
+        """
+        state_by_store = {peer_state.store: peer_state for peer_state in words}
+        updates, parts = [], 0
         for row in self._stores.rows:
-            word = word_by_store.get(row.name)
-            if row.told_at is None or (word is not None and _knows(word, row)):
+            peer_state = state_by_store.get(row.name)
+            if row.status_at is None or (
+                peer_state is not None and _knows_all_parts(peer_state, row)
+            ):
                 continue
-            item = _news_of(row, word)
-            parts += len(item.parts)
-            if news and parts > _MAX_PARTS:
+            update = _update_for(row, peer_state)
+            parts += len(update.parts)
+            if updates and parts > _MAX_PARTS:
                 break
-            news.append(item)
-        return tuple(news)
+            updates.append(update)
+        return tuple(updates)
 
     def hear(self, message):
-        """Take in what a peer tells of stores that it, or another, follows."""
-        word_by_store = {word.store: word for word in message.store_words}
-        for item in message.store_news:
-            row = self._stores.rows.get(item.store)
-            word = word_by_store.get(item.store)
-            if row is not None and word is not None:
-                _take(item, word, row)
-        for word in message.store_words:
-            row = self._stores.rows.get(word.store)
-            if row is not None and word.boot == row.boot and _is_later(word, row):
-                row.note_word(word.told_at, word.is_silent, word.clock_lead)
-
-    def _choose(self):
+        """Merge what a peer has sent of stores that it or another host follows.
+
+        Parameters
+        ----------
+        message : gossip.GossipMessage
+            The peer's message.
+        """
+        state_by_store = {
+            peer_state.store: peer_state for peer_state in message.store_words
+        }
+        for update in message.store_news:
+            row = self._stores.rows.get(update.store)
+            peer_state = state_by_store.get(update.store)
+            if row is not None and peer_state is not None:
+                _apply_update(update, peer_state, row)
+        for peer_state in message.store_words:
+            row = self._stores.rows.get(peer_state.store)
+            if (
+                row is not None
+                and peer_state.boot == row.boot
+                and _is_later(peer_state, row)
+            ):
+                row.note_status(
+                    peer_state.told_at, peer_state.is_silent, peer_state.clock_lead
+                )
+
+    def _choose_followers(self):
         me = self._state.me
         entries = self._state.live_entries()
-        here = [row.name for row in entries if row.data_centre == me.data_centre]
+        local_names = [row.name for row in entries if row.data_centre == me.data_centre]
         for row in self._stores.rows:
-            chosen = here
+            chosen = local_names
             if len(entries) > row.store.followers:
-                chosen = hashing.rank(row.name, here)[:FOLLOWERS]
+                chosen = hashing.rank(row.name, local_names)[:FOLLOWERS]
             row.is_followed = me.name in chosen
         self._followed = frozenset(
             row.name for row in self._stores.rows if row.is_followed
         )
 
 
-def _is_as_late(word, row):
-    """Return whether a peer's word, or None, is no older than what is known here."""
-    return word is not None and _knows(word, row) and word.told_at >= row.told_at
+def _is_up_to_date(peer_state, row):
+    """Return whether what a peer knows of a store is as complete and recent as here.
+
+    `peer_state` is the peer's `gossip.StoreWord`, or None if it has sent none.
+    """
+    return (
+        peer_state is not None
+        and _knows_all_parts(peer_state, row)
+        and peer_state.told_at >= row.status_at
+    )
 
 
-def _is_later(word, row):
-    return row.told_at is None or word.told_at > row.told_at
+def _is_later(peer_state, row):
+    return row.status_at is None or peer_state.told_at > row.status_at
 
 
-def _knows(word, row):
-    """Return whether a peer knows all that is known here of a store.
+def _knows_all_parts(peer_state, row):
+    """Return whether a peer knows all the parts of a store that are known here.
 
-    Of two starts of a store the one goes before that told something last.
+    If the peer knows another start of the store, the start that was observed last
+    counts as the current one.
     """
-    if word.boot == row.boot:
-        return word.position >= row.position
-    return word.told_at >= row.told_at
+    if peer_state.boot == row.boot:
+        return peer_state.position >= row.position
+    return peer_state.told_at >= row.status_at
 
 
-def _news_of(row, word):
-    """Return the changes since a peer's word, or the whole list."""
-    if word is not None and word.boot == row.boot:
-        changes = row.changes_since(word.position)
+def _update_for(row, peer_state):
+    """Return the changes since the peer's position, or the whole list."""
+    if peer_state is not None and peer_state.boot == row.boot:
+        changes = row.changes_since(peer_state.position)
         if changes is not None:
             return gossip.StoreNews(
-                row.name, row.boot, word.position, row.position, False, changes
+                row.name, row.boot, peer_state.position, row.position, False, changes
             )
     return gossip.StoreNews(row.name, row.boot, 0, row.position, True, row.whole_list())
 
 
-def _take(item, word, row):
-    """Take in news, unless this host has heard later ones."""
-    if item.boot == row.boot:
-        fits = item.whole_list or item.since <= row.position
-        if fits and item.position > row.position:
-            row.apply(item)
-    elif item.whole_list and _is_later(word, row):
-        row.apply(item)
-        row.note_word(word.told_at, word.is_silent, word.clock_lead)
+def _apply_update(update, peer_state, row):
+    """Apply a peer's news of a store, unless this host knows something later.
+
+    Guards against a restarted store whose earlier parts come back by a peer that
+    hasn't noticed the restart: another start than the known one is accepted only as a
+    whole list that was observed later.
+    """
+    if update.boot == row.boot:
+        fits = update.whole_list or update.since <= row.position
+        if fits and update.position > row.position:
+            row.apply(update)
+    elif update.whole_list and _is_later(peer_state, row):
+        row.apply(update)
+        row.note_status(peer_state.told_at, peer_state.is_silent, peer_state.clock_lead)
