--- a/packages/wire/sesamespindle/wire/__init__.py
+++ b/packages/wire/sesamespindle/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Adapters of sesamespindle to the outside systems and to its peers."""
+"""Clients for the platform, engines and services, and the peer protocol."""
--- a/packages/wire/sesamespindle/wire/claims.py
+++ b/packages/wire/sesamespindle/wire/claims.py
@@ -1,4 +1,8 @@
-"""Claims on the platform: one durable record for each caller-chosen key."""
+"""Claims: the idempotency records that the platform stores for callers' keys.
+
+Each idempotency key of an account has at most one claim. The claim names the entry
+that runs the call and, once the call is settled, holds the answer.
+"""
 
 import base64
 import datetime
@@ -11,14 +15,25 @@
 
 
 async def take(client, account, key, claim, replaces):
-    """Write a claim and return the object's version.
+    """Write a key's claim and return the version of its object.
+
+    Parameters
+    ----------
+    client : platform.PlatformClient
+        The platform's client.
+    account, key : str
+        The client account and its idempotency key.
+    claim : events.Claim
+        The claim to write.
+    replaces : int
+        The object version that the claim replaces; 0 to create the object.
 
     Raises
     ------
     platform.ConflictError
-        If another claim is there.
+        If the object holds another claim.
     platform.PlatformAwayError
-        If the platform can't say whether the claim is there.
+        If it can't be determined whether the claim was written.
     """
     return await platform.write_surely(
         client,
@@ -31,12 +46,16 @@
 
 
 def object_name(account, key):
-    """Return the name of a key's object; accounts can't name each other's."""
+    """Return the name of the object that stores a key's claim.
+
+    The name is a hash over the account and the key, so that an account can't reach
+    the claims of another account by its choice of keys.
+    """
     return hashlib.sha256(f"{account}\0{key}".encode()).hexdigest()
 
 
 def to_value(claim):
-    """Return a claim as JSON values."""
+    """Return a claim as plain JSON values."""
     value = {
         "entry": claim.entry,
         "incarnation": claim.incarnation,
@@ -55,7 +74,7 @@
 
 
 def from_value(value):
-    """Return the claim of JSON values."""
+    """Return the claim that `to_value` turned into plain JSON values."""
     answer = value.get("answer")
     stored = None
     if answer is not None:
--- a/packages/wire/sesamespindle/wire/engine.py
+++ b/packages/wire/sesamespindle/wire/engine.py
@@ -1,4 +1,4 @@
-"""A model engine: streams that can be resumed, load reports and orders."""
+"""The client of a model engine: resumable streams, cancellation, load reports."""
 
 import dataclasses
 import datetime
@@ -14,13 +14,19 @@
 
 
 class NotSentError(Exception):
-    """No byte of the request can have reached the target."""
+    """No connection was made, so no byte of the request reached the target."""
 
     code = "not_sent"
 
 
 class RefusedError(Exception):
-    """The target said that it did not take the request."""
+    """The target answered that it did not accept the request.
+
+    Attributes
+    ----------
+    retry_after : datetime.timedelta
+        How long to wait before the next attempt.
+    """
 
     code = "refused"
 
@@ -30,26 +36,28 @@
 
 
 class LinkLostError(Exception):
-    """The link broke, or fell silent, after the request may have arrived."""
+    """The connection broke or went idle after the request may have arrived."""
 
     code = "link_lost"
 
 
 class StreamGoneError(Exception):
-    """The engine does not know the stream, or can't be reached any more."""
+    """The engine no longer has the stream, or refuses to resume it."""
 
     code = "stream_gone"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Started:
-    """What an engine says as it starts a stream.
+    """The first event of a stream, sent when the engine starts it.
 
     Attributes
     ----------
     reused_tokens, imported_tokens, computed_tokens : int
-        Tokens of the prompt found in the cache, fetched over a link, and
-        computed.
+        Prompt tokens whose KV cache was found locally, fetched over the network,
+        and computed by prefill.
+    version : str
+        The weight version that the engine runs.
     """
 
     reused_tokens: int
@@ -64,14 +72,19 @@
 
     Attributes
     ----------
+    stream : str
+        The id of the stream, which resumes and cancels it later.
     salt : str
-        The start of the prompt's chain of block ids, in hexadecimal.
+        The seed of the hash chain that yields the prompt's block ids, in
+        hexadecimal.
     version : str
         The only weight version that may answer.
     continuation : str
-        The part of the answer that the caller already has.
+        The beginning of the answer that the caller has already received.
     continued_tokens : int
-        The tokens of that part.
+        The number of tokens in `continuation`.
+    store_url : str
+        The KV store that the engine may use; empty if there is none.
     """
 
     stream: str
@@ -88,15 +101,15 @@
 
 
 class EngineClient:
-    """One engine's API over HTTP; streams come as server-sent events.
+    """The HTTP API of engines; streams arrive as server-sent events.
 
     Parameters
     ----------
     session : aiohttp.ClientSession
-        Owned by the caller.
+        The HTTP session; the caller closes it.
     silence : datetime.timedelta
-        An engine sends something more often than this on every stream; a link
-        that is silent for longer is taken for lost.
+        The idle timeout of a stream. Engines send data on every stream more often
+        than this, so a connection without data for longer is considered lost.
     """
 
     def __init__(self, session, silence):
@@ -104,28 +117,28 @@
         self._silence = silence.total_seconds()
 
     async def start(self, url, request):
-        """Yield `Started`, then every `streams.Piece` of a new stream.
+        """Start a stream; yield `Started`, then every `streams.Piece`.
 
         Raises
         ------
         NotSentError, RefusedError
-            If the stream was surely not started.
+            If the engine certainly did not start the stream.
         LinkLostError
-            If the stream may go on without us.
+            If the connection was lost; the engine may still run the stream.
         """
         body = dataclasses.asdict(request)
         async for item in self._read("POST", f"{url}/streams", body):
             yield item
 
     async def resume(self, url, stream, after):
-        """Yield the pieces of a running stream after a sequence number.
+        """Yield the pieces of a running stream that follow a sequence number.
 
         Raises
         ------
         StreamGoneError
-            If the engine does not have the stream.
+            If the engine no longer has the stream, or refuses to resume it.
         LinkLostError
-            If the link broke, or no connection could be made.
+            If the connection broke, or none could be made.
         """
         target = f"{url}/streams/{stream}?after={after}"
         try:
@@ -141,9 +154,10 @@
 
         Returns
         -------
-        goes_on : bool
-            Whether the engine says that it goes on, since somebody reads it. An
-            engine that doesn't answer stops streams that nobody reads by itself.
+        continues : bool
+            Whether the engine answers that the stream continues because it still
+            has a reader. False also if the engine does not answer; engines stop
+            streams that have no reader on their own.
         """
         try:
             async with self._session.delete(
@@ -155,7 +169,7 @@
             return False
 
     async def load(self, url):
-        """Return the engine's load report as plain values, or None."""
+        """Return the engine's load report as JSON values, or None on a failure."""
         try:
             async with self._session.get(
                 f"{url}/load", timeout=aiohttp.ClientTimeout(total=_CONNECT_SECONDS)
@@ -188,11 +202,11 @@
 
 def _refusal(response):
     if response.status == 404:
-        return StreamGoneError("The engine does not know the stream.")
+        return StreamGoneError("The engine does not have the stream.")
     if response.status in (409, 429, 503):
         seconds = float(response.headers.get("Retry-After", "1"))
         return RefusedError(datetime.timedelta(seconds=seconds))
-    return LinkLostError(f"The engine answered {response.status}.")
+    return LinkLostError(f"The engine answered with HTTP status {response.status}.")
 
 
 def _item(value):
--- a/packages/wire/sesamespindle/wire/head.py
+++ b/packages/wire/sesamespindle/wire/head.py
@@ -1,4 +1,9 @@
-"""The declarations on the platform: documents by digest, and one head."""
+"""The declarations as the platform stores them.
+
+Each declared document is an immutable object named by the digest of its content. One
+object, the head, lists the digests of all documents of the active configuration. A
+change writes its new documents first and then replaces the head.
+"""
 
 import asyncio
 import dataclasses
@@ -15,16 +20,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Head:
-    """The set of documents in force.
+    """The list of documents that make up the active configuration.
 
     Attributes
     ----------
     revision : int
-        Rises by one with every accepted change.
+        Increases by one with every accepted change.
     digest_by_key : dict of str to str
-        Digests of the documents, by kind and name.
+        Digests of the documents, by ``"{kind}/{name}"``.
     nonces : tuple of str
-        The nonces of the latest changes, newest last.
+        The nonces of the latest changes, newest last. A writer whose answer was
+        lost finds its own change by them.
     """
 
     revision: int = 0
@@ -32,20 +38,20 @@
     nonces: tuple[str, ...] = ()
 
     def to_value(self):
-        """Return the head as JSON values."""
+        """Return the head as plain JSON values."""
         return dataclasses.asdict(self)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoredHead:
-    """A head and the version of its object; version 0 where there is none."""
+    """A head and the version of its object; version 0 if there is no object yet."""
 
     head: Head
     version: int
 
 
 def from_object(found):
-    """Return the `StoredHead` of an object, or of None."""
+    """Return the `StoredHead` of a `platform.Object`, or an empty one for None."""
     if found is None:
         return StoredHead(Head(), 0)
     value = found.value
@@ -54,12 +60,23 @@
 
 
 async def read(client):
-    """Return the head in force."""
+    """Return the current `StoredHead`."""
     return from_object(await client.get(HEAD_KIND, HEAD_NAME))
 
 
 async def move(client, stored, digest_by_key, nonce):
-    """Put a new set in force in place of the one that was read.
+    """Replace the head that was read, which activates another set of documents.
+
+    Parameters
+    ----------
+    client : platform.PlatformClient
+        The platform's client.
+    stored : StoredHead
+        The head as it was read.
+    digest_by_key : dict of str to str
+        The digests of the new set; its documents must be stored already.
+    nonce : str
+        A value that identifies this change.
 
     Returns
     -------
@@ -69,9 +86,9 @@
     Raises
     ------
     platform.ConflictError
-        If the head was moved in between.
+        If another change replaced the head since it was read.
     platform.PlatformAwayError
-        If the platform can't say.
+        If it can't be determined whether the head was replaced.
     """
     nonces = (*stored.head.nonces, nonce)[-_NONCES_KEPT:]
     moved = Head(stored.head.revision + 1, digest_by_key, nonces)
@@ -87,10 +104,10 @@
 
 
 async def store_documents(client, entities):
-    """Write the documents of entities, unless they are there already."""
+    """Write the documents of entities that the platform does not have yet."""
 
     async def store(entity):
-        # Whoever wrote a document of this digest wrote the same content.
+        # A document that exists under this digest has the same content.
         await platform.write_surely(
             client,
             DOCUMENT_KIND,
@@ -105,7 +122,13 @@
 
 
 async def read_documents(client, digests):
-    """Return the contents of documents, by digest."""
+    """Return the contents of documents, by digest.
+
+    Raises
+    ------
+    platform.PlatformAwayError
+        If the platform does not answer, or lacks one of the documents.
+    """
     content_by_digest = {}
     for batch in _batches(sorted(digests)):
         found = await asyncio.gather(
@@ -113,13 +136,21 @@
         )
         for digest, item in zip(batch, found, strict=True):
             if item is None:
-                raise platform.PlatformAwayError(f"No document {digest}.")
+                raise platform.PlatformAwayError(
+                    f"The platform has no document {digest}."
+                )
             content_by_digest[digest] = item.value
     return content_by_digest
 
 
 def entities_of(head, content_by_digest):
-    """Return the checked entities of a head, by key."""
+    """Return the validated entities of a head, by key.
+
+    Raises
+    ------
+    findings.FindingsError
+        If the documents are not valid together.
+    """
     digests = head.digest_by_key.values()
     return documents.from_contents(content_by_digest[digest] for digest in digests)
 
--- a/packages/wire/sesamespindle/wire/platform.py
+++ b/packages/wire/sesamespindle/wire/platform.py
@@ -12,46 +12,46 @@
 
 
 class PlatformAwayError(Exception):
-    """The platform gave no answer; a write may or may not have taken effect."""
+    """The platform is unavailable; a write may or may not have taken effect."""
 
     code = "platform_away"
 
 
 class ConflictError(Exception):
-    """The object is not at the version that the write was for.
+    """The object is not at the version that the write expected.
 
     Attributes
     ----------
     found : Object or None
-        The object as it is; None where there is none.
+        The current object, or None if there is none.
     """
 
     code = "conflict"
 
     def __init__(self, found):
-        super().__init__("The object is at another version.")
+        super().__init__("The object is not at the expected version.")
         self.found = found
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Object:
-    """A value and the version it is at; versions count from 1."""
+    """A stored value and its version; versions start at 1."""
 
     version: int
     value: typing.Any
 
 
 class PlatformClient:
-    """The object API over HTTP.
+    """The client of the platform's object API over HTTP.
 
     Parameters
     ----------
     session : aiohttp.ClientSession
-        Owned by the caller.
+        The HTTP session; the caller closes it.
     url : str
-        Where the API is.
+        The base URL of the API.
     timeout : datetime.timedelta
-        For all calls but watches.
+        The timeout of a call. A watch gets its own wait on top.
     """
 
     def __init__(self, session, url, timeout):
@@ -60,16 +60,16 @@
         self._timeout = timeout
 
     async def get(self, kind, name):
-        """Return an `Object`, or None where there is none."""
+        """Return an `Object`, or None if there is none."""
         return await self._call("GET", self._object_url(kind, name))
 
     async def create(self, kind, name, value):
-        """Write an object that must not be there yet; return its version.
+        """Write an object that must not exist yet; return its version.
 
         Raises
         ------
         ConflictError
-            If there is one.
+            If the object exists.
         PlatformAwayError
             If it is not known whether the write took effect.
         """
@@ -78,12 +78,12 @@
         return made.version
 
     async def replace(self, kind, name, value, version):
-        """Write an object that must be at a version; return its new version.
+        """Replace an object that must be at a version; return its new version.
 
         Raises
         ------
         ConflictError
-            If it is at another version, or gone.
+            If the object is at another version, or does not exist.
         PlatformAwayError
             If it is not known whether the write took effect.
         """
@@ -92,19 +92,32 @@
         return made.version
 
     async def watch(self, kind, name, version, wait):
-        """Return the object once it is past a version, or None after a wait."""
+        """Return the object once its version exceeds the given one.
+
+        Parameters
+        ----------
+        version : int
+            The version that the caller already has.
+        wait : datetime.timedelta
+            How long the platform holds the call open for a newer version.
+
+        Returns
+        -------
+        found : Object or None
+            The newer object, or None if none appeared within the wait.
+        """
         url = self._object_url(kind, name)
         seconds = wait.total_seconds()
         params = {"after": str(version), "wait": f"{seconds:.3f}"}
         return await self._call("GET", url, params=params, wait=wait)
 
     async def list_hosts(self):
-        """Return the hosts of the lagging list."""
+        """Return the hosts of the platform's host list, which lags behind changes."""
         listed = await self.list_hosts_after(0)
         return listed.value
 
     async def list_hosts_after(self, version):
-        """Return the list as an `Object`, or None if it is still at a version."""
+        """Return the host list as an `Object`, or None if its version is unchanged."""
         params = {"after": str(version)}
         listed = await self._call("GET", f"{self._url}/hosts", params=params)
         if listed is None:
@@ -139,30 +152,37 @@
 
 
 async def write_surely(client, kind, name, value, replaces, is_ours):
-    """Write an object, and find out when the answer was lost whether it is ours.
+    """Write an object; if the answer is lost, read back whether the write succeeded.
 
-    Guards against a write whose answer is lost after it took effect: taken for
-    a failure, the same claim or change would be made twice. The object is read
-    back, and its nonce tells whose it is.
+    Guards against a write whose answer is lost after it took effect. If it counted
+    as a failure, the caller would make the same claim or change twice. The object is
+    read back, and the nonce in its value shows whether this write stored it.
 
     Parameters
     ----------
+    client : PlatformClient
+        The platform's client.
+    kind, name : str
+        The kind and name of the object.
+    value : object
+        The new value, as plain JSON values.
     replaces : int
-        The version to replace; 0 to create.
+        The version to replace; 0 to create the object.
     is_ours : callable
-        Whether a value carries the nonce of this write.
+        Takes a stored value; returns whether it carries the nonce of this write.
 
     Returns
     -------
     version : int
-        The version of the object.
+        The version of the written object.
 
     Raises
     ------
     ConflictError
-        If another write was first.
+        If another write came first.
     PlatformAwayError
-        If the platform can't say; the write may yet take effect.
+        If the write got no answer and can't be confirmed by reading back; it may
+        still take effect later.
     """
     try:
         if replaces:
@@ -174,7 +194,8 @@
             return found.version
         raise
     except ConflictError as error:
-        # A write that was sent again by a lower layer conflicts with itself.
+        # A lower layer, such as the HTTP library, may have resent the write; the
+        # second copy then conflicts with the first.
         if error.found is not None and is_ours(error.found.value):
             return error.found.version
         raise
@@ -192,7 +213,7 @@
             found = Object(body["version"], body["value"]) if body["version"] else None
             raise ConflictError(found)
         case status:
-            raise PlatformAwayError(f"The platform answered {status}.")
+            raise PlatformAwayError(f"The platform answered with HTTP status {status}.")
 
 
 def _host(item):
--- a/packages/wire/sesamespindle/wire/service.py
+++ b/packages/wire/sesamespindle/wire/service.py
@@ -1,4 +1,4 @@
-"""A plain service, whose calls may not be repeated."""
+"""The client of a plain service, whose calls must not run twice by accident."""
 
 import asyncio
 import dataclasses
@@ -14,14 +14,22 @@
 
 
 class AnswerTimeoutError(Exception):
-    """No answer came in time; the call may have run."""
+    """No answer came within the timeout; the call may have run."""
 
     code = "timed_out"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceRequest:
-    """A call as it is sent to a plain service."""
+    """A call as it is sent to a plain service.
+
+    Attributes
+    ----------
+    path : str
+        The path below the service's URL, without a leading slash.
+    key : str
+        The idempotency key that is passed on; empty if there is none.
+    """
 
     method: str
     path: str
@@ -32,13 +40,13 @@
 
 
 class ServiceClient:
-    """Makes calls to plain services, each over a connection of its own.
+    """Makes calls to plain services, each over a new connection.
 
-    Guards against a second run that nobody decided on: on a kept connection
-    the HTTP library may send a request again by itself when the connection
-    turns out to be closed, and a failed write could not be told from a lost
-    answer. A new connection each time makes "nothing was sent" sure: the
-    connection was never made.
+    Guards against a call that runs twice although no retry was decided. On a
+    keep-alive connection that turns out to be closed, the HTTP library may resend a
+    request by itself, and a request that was never written looks the same as a lost
+    answer. With a new connection for each call, it is certain that nothing was sent
+    if the connection was never established.
     """
 
     def __init__(self):
@@ -50,7 +58,7 @@
         )
 
     async def close(self):
-        """Close what the client holds."""
+        """Close the HTTP session."""
         await self._session.close()
 
     async def call(self, url, request, timeout):
@@ -59,9 +67,13 @@
         Raises
         ------
         engine.NotSentError
-            If no connection was made.
-        AnswerTimeoutError, engine.LinkLostError
-            If the call may have run.
+            If no connection was established, so the call did not run.
+        AnswerTimeoutError
+            If the timeout passed after the connection was established; the call may
+            have run.
+        engine.LinkLostError
+            If the connection broke, or the answer exceeds `MAX_ANSWER_BYTES`; the
+            call may have run.
         """
         progress = types.SimpleNamespace(connected=False)
         try:
@@ -95,7 +107,7 @@
             while len(body) <= MAX_ANSWER_BYTES and not response.content.at_eof():
                 body += await response.content.read(MAX_ANSWER_BYTES + 1 - len(body))
             if len(body) > MAX_ANSWER_BYTES:
-                raise aiohttp.ClientPayloadError("The answer is too long to keep.")
+                raise aiohttp.ClientPayloadError("The answer exceeds the size limit.")
             return events.StoredAnswer(response.status, response.content_type, body)
 
 
