--- a/packages/cli/sesamespindle/cli/changes.py
+++ b/packages/cli/sesamespindle/cli/changes.py
@@ -89,7 +89,7 @@
         if current.head.digest_by_key != base.digest_by_key:
             await _check_together(client, target)
         try:
-            return await head.move(client, current, target, nonce)
+            return await head.replace(client, current, target, nonce)
         except platform.ConflictError as error:
             current = head.from_object(error.found)
     raise outcomes.CommandError(
--- a/packages/wire/sesamespindle/wire/claims.py
+++ b/packages/wire/sesamespindle/wire/claims.py
@@ -35,7 +35,7 @@
     platform.PlatformAwayError
         If it can't be determined whether the claim was written.
     """
-    return await platform.write_surely(
+    return await platform.write_confirmed(
         client,
         KIND,
         object_name(account, key),
--- a/packages/wire/sesamespindle/wire/engine.py
+++ b/packages/wire/sesamespindle/wire/engine.py
@@ -10,7 +10,7 @@
 from sesamespindle.decide import streams
 
 _CONNECT_SECONDS = 2.0
-_DATA = b"data: "
+_DATA_PREFIX = b"data: "
 
 
 class NotSentError(Exception):
@@ -107,14 +107,14 @@
     ----------
     session : aiohttp.ClientSession
         The HTTP session; the caller closes it.
-    silence : datetime.timedelta
+    idle_timeout : datetime.timedelta
         The idle timeout of a stream. Engines send data on every stream more often
         than this, so a connection without data for longer is considered lost.
     """
 
-    def __init__(self, session, silence):
+    def __init__(self, session, idle_timeout):
         self._session = session
-        self._silence = silence.total_seconds()
+        self._idle_timeout = idle_timeout.total_seconds()
 
     async def start(self, url, request):
         """Start a stream; yield `Started`, then every `streams.Piece`.
@@ -127,8 +127,8 @@
             If the connection was lost; the engine may still run the stream.
         """
         body = dataclasses.asdict(request)
-        async for item in self._read("POST", f"{url}/streams", body):
-            yield item
+        async for event in self._read("POST", f"{url}/streams", body):
+            yield event
 
     async def resume(self, url, stream, after):
         """Yield the pieces of a running stream that follow a sequence number.
@@ -140,10 +140,10 @@
         LinkLostError
             If the connection broke, or none could be made.
         """
-        target = f"{url}/streams/{stream}?after={after}"
+        stream_url = f"{url}/streams/{stream}?after={after}"
         try:
-            async for item in self._read("GET", target, None):
-                yield item
+            async for event in self._read("GET", stream_url, None):
+                yield event
         except NotSentError as error:
             raise LinkLostError(str(error)) from error
         except RefusedError as error:
@@ -180,17 +180,17 @@
 
     async def _read(self, method, url, body):
         timeout = aiohttp.ClientTimeout(
-            total=None, sock_connect=_CONNECT_SECONDS, sock_read=self._silence
+            total=None, sock_connect=_CONNECT_SECONDS, sock_read=self._idle_timeout
         )
         try:
             async with self._session.request(
                 method, url, json=body, timeout=timeout
             ) as response:
                 if response.status != 200:
-                    raise _refusal(response)
+                    raise _error_of(response)
                 async for line in response.content:
-                    if line.startswith(_DATA):
-                        yield _item(json.loads(line[len(_DATA) :]))
+                    if line.startswith(_DATA_PREFIX):
+                        yield _parse_event(json.loads(line[len(_DATA_PREFIX) :]))
         except (
             aiohttp.ClientConnectorError,
             aiohttp.ConnectionTimeoutError,
@@ -200,7 +200,7 @@
             raise LinkLostError(f"{method} {url}: {error!r}") from error
 
 
-def _refusal(response):
+def _error_of(response):
     if response.status == 404:
         return StreamGoneError("The engine does not have the stream.")
     if response.status in (409, 429, 503):
@@ -209,7 +209,7 @@
     return LinkLostError(f"The engine answered with HTTP status {response.status}.")
 
 
-def _item(value):
+def _parse_event(value):
     if "sequence" not in value:
         return Started(
             value["reused_tokens"],
--- a/packages/wire/sesamespindle/wire/head.py
+++ b/packages/wire/sesamespindle/wire/head.py
@@ -15,7 +15,7 @@
 HEAD_NAME = "declarations"
 DOCUMENT_KIND = "documents"
 _NONCES_KEPT = 200
-_READS_AT_ONCE = 32
+_CONCURRENT_CALLS = 32
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -64,7 +64,7 @@
     return from_object(await client.get(HEAD_KIND, HEAD_NAME))
 
 
-async def move(client, stored, digest_by_key, nonce):
+async def replace(client, stored, digest_by_key, nonce):
     """Replace the head that was read, which activates another set of documents.
 
     Parameters
@@ -80,7 +80,7 @@
 
     Returns
     -------
-    moved : Head
+    new_head : Head
         The new head.
 
     Raises
@@ -91,16 +91,16 @@
         If it can't be determined whether the head was replaced.
     """
     nonces = (*stored.head.nonces, nonce)[-_NONCES_KEPT:]
-    moved = Head(stored.head.revision + 1, digest_by_key, nonces)
-    await platform.write_surely(
+    new_head = Head(stored.head.revision + 1, digest_by_key, nonces)
+    await platform.write_confirmed(
         client,
         HEAD_KIND,
         HEAD_NAME,
-        moved.to_value(),
+        new_head.to_value(),
         stored.version,
         lambda value: nonce in value["nonces"],
     )
-    return moved
+    return new_head
 
 
 async def store_documents(client, entities):
@@ -108,7 +108,7 @@
 
     async def store(entity):
         # A document that exists under this digest has the same content.
-        await platform.write_surely(
+        await platform.write_confirmed(
             client,
             DOCUMENT_KIND,
             entity.digest,
@@ -134,12 +134,12 @@
         found = await asyncio.gather(
             *(client.get(DOCUMENT_KIND, digest) for digest in batch)
         )
-        for digest, item in zip(batch, found, strict=True):
-            if item is None:
+        for digest, document in zip(batch, found, strict=True):
+            if document is None:
                 raise platform.PlatformAwayError(
                     f"The platform has no document {digest}."
                 )
-            content_by_digest[digest] = item.value
+            content_by_digest[digest] = document.value
     return content_by_digest
 
 
@@ -156,5 +156,5 @@
 
 
 def _batches(items):
-    for start in range(0, len(items), _READS_AT_ONCE):
-        yield items[start : start + _READS_AT_ONCE]
+    for start in range(0, len(items), _CONCURRENT_CALLS):
+        yield items[start : start + _CONCURRENT_CALLS]
--- a/packages/wire/sesamespindle/wire/platform.py
+++ b/packages/wire/sesamespindle/wire/platform.py
@@ -74,8 +74,8 @@
             If it is not known whether the write took effect.
         """
         headers = {"If-None-Match": "*"}
-        made = await self._call("PUT", self._object_url(kind, name), value, headers)
-        return made.version
+        written = await self._call("PUT", self._object_url(kind, name), value, headers)
+        return written.version
 
     async def replace(self, kind, name, value, version):
         """Replace an object that must be at a version; return its new version.
@@ -88,8 +88,8 @@
             If it is not known whether the write took effect.
         """
         headers = {"If-Match": str(version)}
-        made = await self._call("PUT", self._object_url(kind, name), value, headers)
-        return made.version
+        written = await self._call("PUT", self._object_url(kind, name), value, headers)
+        return written.version
 
     async def watch(self, kind, name, version, wait):
         """Return the object once its version exceeds the given one.
@@ -122,7 +122,7 @@
         listed = await self._call("GET", f"{self._url}/hosts", params=params)
         if listed is None:
             return None
-        return Object(listed.version, tuple(_host(item) for item in listed.value))
+        return Object(listed.version, tuple(_parse_host(item) for item in listed.value))
 
     def _object_url(self, kind, name):
         return f"{self._url}/objects/{kind}/{name}"
@@ -146,12 +146,12 @@
                 params=params,
                 timeout=timeout,
             ) as response:
-                return await _result(response)
+                return await _parse_response(response)
         except (TimeoutError, aiohttp.ClientError, ValueError) as error:
             raise PlatformAwayError(f"{method} {url}: {error!r}") from error
 
 
-async def write_surely(client, kind, name, value, replaces, is_ours):
+async def write_confirmed(client, kind, name, value, replaces, is_ours):
     """Write an object; if the answer is lost, read back whether the write succeeded.
 
     Guards against a write whose answer is lost after it took effect. If it counted
@@ -201,7 +201,7 @@
         raise
 
 
-async def _result(response):
+async def _parse_response(response):
     match response.status:
         case 200:
             body = await response.json()
@@ -216,7 +216,7 @@
             raise PlatformAwayError(f"The platform answered with HTTP status {status}.")
 
 
-def _host(item):
+def _parse_host(item):
     return events.Host(
         item["name"],
         item["role"],
--- a/packages/wire/sesamespindle/wire/service.py
+++ b/packages/wire/sesamespindle/wire/service.py
@@ -51,7 +51,7 @@
 
     def __init__(self):
         tracing = aiohttp.TraceConfig()
-        tracing.on_connection_create_end.append(_note_connected)
+        tracing.on_connection_create_end.append(_record_connection)
         self._session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(force_close=True, limit=0),
             trace_configs=[tracing],
@@ -111,5 +111,5 @@
             return events.StoredAnswer(response.status, response.content_type, body)
 
 
-async def _note_connected(session, context, params):
+async def _record_connection(session, context, params):
     context.trace_request_ctx.connected = True
