--- a/packages/declare/sesamespindle/declare/__init__.py
+++ b/packages/declare/sesamespindle/declare/__init__.py
@@ -1,1 +1,1 @@
-"""Declarations and settings of sesamespindle: checked YAML."""
+"""Reading and validating sesamespindle's declarations and settings from YAML."""
--- a/packages/declare/sesamespindle/declare/documents.py
+++ b/packages/declare/sesamespindle/declare/documents.py
@@ -1,4 +1,9 @@
-"""A whole set of declarations: read, checked and made ready for use."""
+"""A complete set of declarations: reading, validation and conversion.
+
+Each document is validated by itself, then all of them together: references between
+them must resolve, and the limits of contracts must fit their pools. All errors are
+collected and raised at once.
+"""
 
 import dataclasses
 import difflib
@@ -22,7 +27,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Entity:
-    """One declared thing: its kind, its checked model and where it stands."""
+    """One declared object.
+
+    Attributes
+    ----------
+    kind : str
+        One of the keys of `kinds.MODEL_BY_KIND`.
+    model : pydantic.BaseModel
+        The validated values.
+    document : yamlfile.Document
+        The document that declares it, with the positions of its values.
+    """
 
     kind: str
     model: object
@@ -30,35 +45,35 @@
 
     @property
     def key(self):
-        """Return the kind and name, which are its identity."""
+        """Return ``"{kind}/{name}"``, which identifies the entity."""
         return f"{self.kind}/{self.model.name}"
 
     @property
     def content(self):
-        """Return the entity as plain JSON values."""
+        """Return the document as plain JSON values, as it is stored."""
         values = self.document.value
         return json.loads(json.dumps(values, default=str, sort_keys=True))
 
     @property
     def digest(self):
-        """Return a hash of the content."""
+        """Return the SHA-256 of the content, in hexadecimal."""
         text = json.dumps(self.content, sort_keys=True)
         return hashlib.sha256(text.encode()).hexdigest()
 
 
 def read_folder(folder):
-    """Return the checked entities of all YAML files in a folder, by key.
+    """Return the validated entities of all YAML files in a folder, by key.
 
     Raises
     ------
     findings.FindingsError
-        With everything that is wrong in any of the files.
+        With all errors in all files.
     """
     root = pathlib.Path(folder)
     paths = sorted([*root.rglob("*.yaml"), *root.rglob("*.yml")])
     if not paths:
         finding = findings.Finding(
-            str(folder), 1, 1, "no_files", "There are no YAML files here."
+            str(folder), 1, 1, "no_files", "The folder contains no YAML files."
         )
         raise findings.FindingsError([finding])
     documents = []
@@ -70,25 +85,32 @@
             found.extend(error.findings)
         except UnicodeDecodeError:
             found.append(
-                findings.Finding(str(path), 1, 1, "yaml", "The file is not UTF-8.")
+                findings.Finding(
+                    str(path), 1, 1, "yaml", "The file is not encoded in UTF-8."
+                )
             )
     return _check(documents, found)
 
 
 def from_contents(contents):
-    """Return the checked entities of plain values, by key.
+    """Return the validated entities of stored documents, by key.
 
     Parameters
     ----------
     contents : iterable of dict
-        Values as `Entity.content` gives them.
+        Plain JSON values, as returned by `Entity.content`.
+
+    Raises
+    ------
+    findings.FindingsError
+        With all errors; their file is ``<platform>``.
     """
     documents = [yamlfile.Document("<platform>", value, {}) for value in contents]
     return _check(documents, [])
 
 
 def to_declarations(entity_by_key):
-    """Return the entities as the decision logic knows them."""
+    """Return the entities as the `declared.Declarations` of the decision logic."""
     rows_by_field = {field: [] for field in _FIELD_BY_KIND.values()}
     for entity in entity_by_key.values():
         rows_by_field[_FIELD_BY_KIND[entity.kind]].append(entity.model.to_row())
@@ -119,9 +141,11 @@
 def _entity(document):
     value = document.value
     if not isinstance(value, dict):
-        return None, [document.finding((), "not_a_mapping", "A mapping is expected.")]
+        return None, [
+            document.finding((), "not_a_mapping", "The document must be a mapping.")
+        ]
     if value.get("api") != kinds.API:
-        message = f"'api' should be {kinds.API!r}."
+        message = f"The key 'api' must be {kinds.API!r}."
         return None, [document.finding(("api",), "wrong_api", message)]
     kind = value.get("kind")
     model = kinds.MODEL_BY_KIND.get(kind)
@@ -138,14 +162,12 @@
 
 def _duplicate(entity, first):
     place = first.document.place(("name",))
-    message = (
-        f"{entity.key} is declared twice; first in {first.document.file}:{place.line}."
-    )
+    message = f"{entity.key} is already declared in {first.document.file}:{place.line}."
     return entity.document.finding(("name",), "duplicate_name", message)
 
 
 def _check_together(entity_by_key):
-    """Return the findings that need more than one entity to see."""
+    """Return the findings that concern more than one entity."""
     found = []
     for entity in entity_by_key.values():
         match entity.model:
@@ -186,13 +208,17 @@
         found += _reference(entity_by_key, entity, path, "Contract", share.account)
     total = sum(share.share for share in event.shares)
     if total > 1.0 + 1e-9:
-        message = f"The shares add up to {total:.0%}, over 100%."
+        message = f"The shares add up to {total:.0%}, which exceeds 100%."
         found.append(entity.document.finding(("shares",), "shares_over_100", message))
     return found
 
 
 def _check_pool(entity_by_key, entity):
-    """Check a pool's store, and that its contracts fit the pool's own limit."""
+    """Check that a pool's store exists and that its contracts fit the pool's limit.
+
+    The limits of all contracts that may use the pool must not add up to more than
+    the pool's concurrency.
+    """
     pool = entity.model
     if pool.store is not None:
         found = _reference(entity_by_key, entity, ("store",), "Pool", pool.store)
@@ -208,8 +234,8 @@
     if total <= pool.concurrency:
         return []
     message = (
-        f"The contracts that use the pool allow {total} at once, "
-        f"over the pool's {pool.concurrency}."
+        f"The contracts that use the pool allow {total} concurrent requests, "
+        f"which exceeds the pool's limit of {pool.concurrency}."
     )
     return [entity.document.finding(("concurrency",), "limits_over_pool", message)]
 
--- a/packages/declare/sesamespindle/declare/findings.py
+++ b/packages/declare/sesamespindle/declare/findings.py
@@ -1,11 +1,21 @@
-"""What is wrong with a file, with its place."""
+"""Validation errors and their positions in files."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
 class Finding:
-    """One fault in one file; lines and columns count from 1."""
+    """One validation error in one file.
+
+    Attributes
+    ----------
+    line, column : int
+        The position of the error; both start at 1.
+    code : str
+        A short name of the kind of error, which scripts can match.
+    message : str
+        What is wrong, as a sentence.
+    """
 
     file: str
     line: int
@@ -18,7 +28,13 @@
 
 
 class FindingsError(Exception):
-    """Files could not be used; all that is wrong with them is in `findings`."""
+    """Files are invalid.
+
+    Attributes
+    ----------
+    findings : list of Finding
+        All validation errors, sorted by file and position.
+    """
 
     code = "findings"
 
--- a/packages/declare/sesamespindle/declare/kinds.py
+++ b/packages/declare/sesamespindle/declare/kinds.py
@@ -1,4 +1,4 @@
-"""The kinds that operators declare, as models of their YAML."""
+"""The kinds of objects that operators declare in YAML, as pydantic models."""
 
 import datetime
 import typing
@@ -24,7 +24,23 @@
 
 
 class Contract(_Kind):
-    """The limits of one client account, named after the account."""
+    """The limits of one client account; its name is the account's name.
+
+    Attributes
+    ----------
+    concurrency : int
+        Concurrent prompts, over all entries.
+    call_concurrency : int
+        Concurrent calls to plain services, over all entries.
+    priority : int
+        Weight in queues, 1 to 10.
+    retained_context : int
+        Tokens of context kept for the account after use; no decision uses it yet.
+    keys : tuple of str
+        SHA-256 hashes of the account's API keys, as ``sha256:`` and hexadecimal.
+    pools : tuple of str
+        The pools that the account may use; empty for all pools.
+    """
 
     concurrency: Count
     call_concurrency: Count = 4
@@ -34,7 +50,7 @@
     pools: tuple[Name, ...] = ()
 
     def to_row(self):
-        """Return the contract as the decision logic knows it."""
+        """Return the contract as a `declared.Contract`."""
         return declared.Contract(
             self.name,
             self.concurrency,
@@ -47,7 +63,7 @@
 
 
 class EventShare(pydantic.BaseModel):
-    """An account's share of the pool at the start of an event."""
+    """An account's share of the pool, 0 to 1, at the start of an event."""
 
     model_config = pydantic.ConfigDict(extra="forbid", frozen=True)
 
@@ -56,7 +72,15 @@
 
 
 class Event(_Kind):
-    """A fixed hour at which callers arrive together."""
+    """A fixed time at which many callers arrive together; no decision uses it yet.
+
+    Attributes
+    ----------
+    starts_at : datetime.datetime
+        The start; UTC if it has no time zone.
+    shares : tuple of EventShare
+        Each account's share of the pool; together at most 1.
+    """
 
     pool: Name
     starts_at: datetime.datetime
@@ -65,7 +89,7 @@
     shares: tuple[EventShare, ...] = ()
 
     def to_row(self):
-        """Return the event as the decision logic knows it."""
+        """Return the event as a `declared.Event`."""
         starts_at = self.starts_at
         if starts_at.tzinfo is None:
             starts_at = starts_at.replace(tzinfo=datetime.UTC)
@@ -78,19 +102,37 @@
 
 
 class Model(_Kind):
-    """A model, the pool that runs it and the weight version in force."""
+    """A model, the pool that runs it and its active weight version.
+
+    Attributes
+    ----------
+    context : int
+        The context window, in tokens.
+    """
 
     pool: Name
     version: str = pydantic.Field(min_length=1, max_length=63)
     context: units.Tokens
 
     def to_row(self):
-        """Return the model as the decision logic knows it."""
+        """Return the model as a `declared.Model`."""
         return declared.Model(self.name, self.pool, self.version, self.context)
 
 
 class Pool(_Kind):
-    """Targets that do the same work."""
+    """A group of interchangeable targets.
+
+    Attributes
+    ----------
+    targets : declared.TargetKind
+        The kind of all targets in the pool.
+    concurrency : int
+        Concurrent requests in the pool; an upper bound for the contracts' limits.
+    repeatable_paths : tuple of str
+        Paths of a service that may be called again after a lost answer.
+    store : str or None
+        The pool of store hosts that keeps the engines' contexts.
+    """
 
     targets: declared.TargetKind
     concurrency: Count = 1000
@@ -98,7 +140,7 @@
     store: Name | None = None
 
     def to_row(self):
-        """Return the pool as the decision logic knows it."""
+        """Return the pool as a `declared.Pool`."""
         return declared.Pool(
             self.name,
             self.targets,
@@ -109,14 +151,14 @@
 
 
 class Target(_Kind):
-    """A host that does a pool's work."""
+    """A host that serves a pool; its address comes from the platform's host list."""
 
     pool: Name
     data_centre: Name
     checks_fencing: bool = False
 
     def to_row(self):
-        """Return the target as the decision logic knows it."""
+        """Return the target as a `declared.Target`."""
         return declared.Target(
             self.name, self.pool, self.data_centre, self.checks_fencing
         )
@@ -128,7 +170,7 @@
     region: Name
 
     def to_row(self):
-        """Return the data centre as the decision logic knows it."""
+        """Return the data centre as a `declared.DataCentre`."""
         return declared.DataCentre(self.name, self.region)
 
 
--- a/packages/declare/sesamespindle/declare/settings.py
+++ b/packages/declare/sesamespindle/declare/settings.py
@@ -1,4 +1,4 @@
-"""The settings of one daemon: defaults, file, and secrets from outside."""
+"""The settings of one daemon: defaults, settings file, and secrets."""
 
 import datetime
 import pathlib
@@ -27,14 +27,14 @@
 
 
 class Address(_Section):
-    """Where to listen; port 0 lets the system choose."""
+    """An address to listen on; port 0 lets the operating system choose one."""
 
     host: pydantic.IPvAnyAddress
     port: Port
 
 
 class Statsd(_Section):
-    """Where metrics go; an empty host turns them off."""
+    """The address that metrics are sent to; an empty host turns them off."""
 
     host: str
     port: Port
@@ -42,14 +42,24 @@
 
 
 class Log(_Section):
-    """How log lines look."""
+    """The format and the lowest level of log lines."""
 
     format: typing.Literal["text", "json"]
     level: typing.Literal["DEBUG", "INFO", "WARNING", "ERROR"]
 
 
 class Limits(_Section):
-    """What a caller's request may be like."""
+    """Limits on callers' requests.
+
+    Attributes
+    ----------
+    body_bytes, header_bytes : int
+        The largest body and the largest headers, in bytes.
+    json_depth : int
+        The deepest nesting of a JSON body.
+    body_timeout : datetime.timedelta
+        How long the body may take to arrive.
+    """
 
     body_bytes: Positive
     header_bytes: Positive
@@ -58,7 +68,7 @@
 
 
 class Policy(_Section):
-    """Numbers of the decision logic; see `sesamespindle.decide.world.Policy`."""
+    """Parameters of the decision logic; see `sesamespindle.decide.world.Policy`."""
 
     queue_patience: units.Duration
     first_token_patience: units.Duration
@@ -71,7 +81,28 @@
 
 
 class Settings(_Section):
-    """Everything that a daemon is told at its start."""
+    """The complete configuration that a daemon reads at its start.
+
+    Attributes
+    ----------
+    listen, peers, admin : Address
+        The addresses for callers, for other daemons and for operators.
+    seeds : tuple of str
+        Peer addresses for the first contact with other daemons.
+    token_key, admin_key : pydantic.SecretStr
+        The secret that all daemons share, for tokens and for messages between
+        them; and the key of operators.
+    engine_silence : datetime.timedelta
+        The idle timeout of engine streams.
+    entries_per_account : int
+        How many entries an account is directed to.
+    entries_kept_for : datetime.timedelta
+        How long callers may cache the list of entries.
+    shutdown_grace : datetime.timedelta
+        How long a leaving daemon waits for requests in flight.
+    event_log_size : int
+        The number of events that the event log keeps.
+    """
 
     name: kinds.Name
     data_centre: kinds.Name
@@ -106,19 +137,25 @@
 
 
 def load(path, environment):
-    """Return the settings of a file over the defaults.
+    """Return the settings of a file, with defaults for the keys that it omits.
 
     Parameters
     ----------
     path : str or pathlib.Path
         The YAML file.
     environment : mapping
-        Where secrets are looked up; they go before the file's.
+        The environment variables. A secret that is set there takes precedence over
+        the file's.
+
+    Returns
+    -------
+    settings : Settings
+        The validated settings.
 
     Raises
     ------
     findings.FindingsError
-        With everything that is wrong.
+        With all errors in the file.
     """
     path = pathlib.Path(path)
     try:
@@ -130,7 +167,15 @@
     documents = yamlfile.read(str(path), text)
     if len(documents) != 1 or not isinstance(documents[0].value, dict):
         raise findings.FindingsError(
-            [findings.Finding(str(path), 1, 1, "not_a_mapping", "One mapping please.")]
+            [
+                findings.Finding(
+                    str(path),
+                    1,
+                    1,
+                    "not_a_mapping",
+                    "The file must contain exactly one document, a mapping.",
+                )
+            ]
         )
     document = documents[0]
     document.value = _merge(_defaults(), document.value)
--- a/packages/declare/sesamespindle/declare/units.py
+++ b/packages/declare/sesamespindle/declare/units.py
@@ -1,4 +1,4 @@
-"""Amounts with a unit, as they are written in YAML."""
+"""Amounts with a unit, such as ``30 s`` or ``8k tokens``, as written in YAML."""
 
 import datetime
 import re
@@ -26,7 +26,7 @@
 def _tokens(value):
     match = _TOKENS.fullmatch(value) if isinstance(value, str) else None
     if match is None:
-        raise _wrong_unit("an amount such as '8000 tokens', '128k tokens'")
+        raise _wrong_unit("an amount such as '8000 tokens' or '128k tokens'")
     return int(float(match[1]) * _FACTOR_BY_PREFIX[match[2]])
 
 
--- a/packages/declare/sesamespindle/declare/yamlfile.py
+++ b/packages/declare/sesamespindle/declare/yamlfile.py
@@ -1,4 +1,4 @@
-"""Reading YAML so that every value keeps the place it was written at."""
+"""Reading YAML documents together with the position of every value."""
 
 import dataclasses
 import difflib
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Place:
-    """A line and a column, from 1."""
+    """A position in a file; line and column start at 1."""
 
     line: int
     column: int
@@ -25,14 +25,16 @@
 
 @dataclasses.dataclass(slots=True)
 class Document:
-    """One YAML document and the places of its values.
+    """One YAML document and the positions of its values.
 
     Attributes
     ----------
+    file : str
+        The file that findings name.
     value : object
         The plain value: mappings, sequences and scalars.
-    place_by_path : dict
-        Places by the path of keys and indices from the document's root.
+    place_by_path : dict of tuple to Place
+        Positions of values, by the path of keys and indices from the document's root.
     """
 
     file: str
@@ -40,25 +42,32 @@
     place_by_path: dict
 
     def place(self, path):
-        """Return the place of a path, or of the nearest one above it."""
+        """Return the position of a path, or of its nearest ancestor that has one."""
         path = tuple(path)
         while path not in self.place_by_path and path:
             path = path[:-1]
         return self.place_by_path.get(path, Place(1, 1))
 
     def finding(self, path, code, message):
-        """Return a finding at the place of a path."""
+        """Return a finding at the position of a path."""
         place = self.place(path)
         return findings.Finding(self.file, place.line, place.column, code, message)
 
 
 def read(file, text):
-    """Return the documents of a YAML text.
+    """Return the documents of a YAML text as a list of `Document`.
+
+    Parameters
+    ----------
+    file : str
+        The name of the file, for findings.
+    text : str
+        The text of the file.
 
     Raises
     ------
     findings.FindingsError
-        If the text is not YAML, or a mapping has a key twice.
+        If the text is not valid YAML, or a mapping contains a key twice.
     """
     loader = yaml.SafeLoader(text)
     documents = []
@@ -78,26 +87,28 @@
 
 
 def check(document, model, skip=()):
-    """Return the model made of a document, and the findings about it.
+    """Validate a document against a model.
 
     Parameters
     ----------
     document : Document
-        The document, which should hold a mapping.
+        The document; anything but a mapping gives a finding.
     model : type
-        A pydantic model.
+        A class of pydantic models.
     skip : collection of str
-        Keys of the document that aren't the model's.
+        Top-level keys of the document that are not part of the model.
 
     Returns
     -------
     made : object or None
-        The model, or None where there are findings.
+        The validated model, or None if there are findings.
     found : list of findings.Finding
-        All that is wrong.
+        All errors in the document.
     """
     if not isinstance(document.value, dict):
-        return None, [document.finding((), "not_a_mapping", "A mapping is expected.")]
+        return None, [
+            document.finding((), "not_a_mapping", "The document must be a mapping.")
+        ]
     value = {key: item for key, item in document.value.items() if key not in skip}
     try:
         return model.model_validate(value), []
@@ -127,7 +138,7 @@
     for key, item in node.value:
         if key.value in seen:
             raise yaml.MarkedYAMLError(
-                problem=f"The key {key.value!r} stands twice.",
+                problem=f"The key {key.value!r} occurs twice.",
                 problem_mark=key.start_mark,
             )
         seen.add(key.value)
@@ -142,7 +153,7 @@
     name = ".".join(str(part) for part in path)
     match code:
         case "unknown_key":
-            message = f"The key {name!r} is not known."
+            message = f"The key {name!r} is unknown."
             message += _nearest(str(path[-1]), model, path[:-1])
         case "missing_key":
             message = f"The key {name!r} is missing."
--- a/tests/declare/test_documents.py
+++ b/tests/declare/test_documents.py
@@ -1,4 +1,4 @@
-"""Declarations: everything that is wrong is found at once, with its place."""
+"""Reading declarations reports all errors at once, each with its position."""
 
 import pathlib
 
--- a/tests/declare/test_settings.py
+++ b/tests/declare/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: checked like declarations, with secrets from outside."""
+"""Reading settings: defaults, secrets from the environment, error reports."""
 
 import os
 import subprocess
