--- a/packages/declare/sesamespindle/declare/documents.py
+++ b/packages/declare/sesamespindle/declare/documents.py
@@ -124,21 +124,21 @@
     for document in documents:
         if document.value is None:
             continue
-        entity, wrong = _entity(document)
-        found.extend(wrong)
+        entity, entity_findings = _parse_entity(document)
+        found.extend(entity_findings)
         if entity is None:
             continue
         if entity.key in entity_by_key:
-            found.append(_duplicate(entity, entity_by_key[entity.key]))
+            found.append(_duplicate_finding(entity, entity_by_key[entity.key]))
             continue
         entity_by_key[entity.key] = entity
-    found.extend(_check_together(entity_by_key))
+    found.extend(_check_across_entities(entity_by_key))
     if found:
         raise findings.FindingsError(found)
     return entity_by_key
 
 
-def _entity(document):
+def _parse_entity(document):
     value = document.value
     if not isinstance(value, dict):
         return None, [
@@ -150,39 +150,45 @@
     kind = value.get("kind")
     model = kinds.MODEL_BY_KIND.get(kind)
     if model is None:
-        near = difflib.get_close_matches(str(kind), kinds.MODEL_BY_KIND, n=1)
-        hint = f" Did you mean {near[0]!r}?" if near else ""
+        close = difflib.get_close_matches(str(kind), kinds.MODEL_BY_KIND, n=1)
+        hint = f" Did you mean {close[0]!r}?" if close else ""
         message = f"There is no kind {kind!r}.{hint}"
         return None, [document.finding(("kind",), "unknown_kind", message)]
-    made, found = yamlfile.check(document, model, skip=_HEADER)
-    if made is None:
+    validated, found = yamlfile.check(document, model, skip=_HEADER)
+    if validated is None:
         return None, found
-    return Entity(kind, made, document), []
+    return Entity(kind, validated, document), []
 
 
-def _duplicate(entity, first):
-    place = first.document.place(("name",))
-    message = f"{entity.key} is already declared in {first.document.file}:{place.line}."
+def _duplicate_finding(entity, first):
+    position = first.document.position(("name",))
+    message = (
+        f"{entity.key} is already declared in {first.document.file}:{position.line}."
+    )
     return entity.document.finding(("name",), "duplicate_name", message)
 
 
-def _check_together(entity_by_key):
+def _check_across_entities(entity_by_key):
     """Return the findings that concern more than one entity."""
     found = []
     for entity in entity_by_key.values():
         match entity.model:
             case kinds.Contract(pools=pools):
                 for index, pool in enumerate(pools):
-                    found += _reference(
+                    found += _check_reference(
                         entity_by_key, entity, ("pools", index), "Pool", pool
                     )
             case kinds.Event():
                 found += _check_event(entity_by_key, entity)
             case kinds.Model(pool=pool):
-                found += _reference(entity_by_key, entity, ("pool",), "Pool", pool)
+                found += _check_reference(
+                    entity_by_key, entity, ("pool",), "Pool", pool
+                )
             case kinds.Target(pool=pool, data_centre=data_centre):
-                found += _reference(entity_by_key, entity, ("pool",), "Pool", pool)
-                found += _reference(
+                found += _check_reference(
+                    entity_by_key, entity, ("pool",), "Pool", pool
+                )
+                found += _check_reference(
                     entity_by_key, entity, ("data_centre",), "DataCentre", data_centre
                 )
             case kinds.Pool():
@@ -190,22 +196,24 @@
     return found
 
 
-def _reference(entity_by_key, entity, path, kind, name):
+def _check_reference(entity_by_key, entity, path, kind, name):
     if f"{kind}/{name}" in entity_by_key:
         return []
     names = [key.split("/")[1] for key in entity_by_key if key.startswith(f"{kind}/")]
-    near = difflib.get_close_matches(name, names, n=1)
-    hint = f" Did you mean {near[0]!r}?" if near else ""
+    close = difflib.get_close_matches(name, names, n=1)
+    hint = f" Did you mean {close[0]!r}?" if close else ""
     message = f"There is no {kind} {name!r}.{hint}"
     return [entity.document.finding(path, "dangling_reference", message)]
 
 
 def _check_event(entity_by_key, entity):
     event = entity.model
-    found = _reference(entity_by_key, entity, ("pool",), "Pool", event.pool)
+    found = _check_reference(entity_by_key, entity, ("pool",), "Pool", event.pool)
     for index, share in enumerate(event.shares):
         path = ("shares", index, "account")
-        found += _reference(entity_by_key, entity, path, "Contract", share.account)
+        found += _check_reference(
+            entity_by_key, entity, path, "Contract", share.account
+        )
     total = sum(share.share for share in event.shares)
     if total > 1.0 + 1e-9:
         message = f"The shares add up to {total:.0%}, which exceeds 100%."
@@ -221,7 +229,7 @@
     """
     pool = entity.model
     if pool.store is not None:
-        found = _reference(entity_by_key, entity, ("store",), "Pool", pool.store)
+        found = _check_reference(entity_by_key, entity, ("store",), "Pool", pool.store)
         if found:
             return found
     contracts = [
--- a/packages/declare/sesamespindle/declare/settings.py
+++ b/packages/declare/sesamespindle/declare/settings.py
@@ -182,10 +182,10 @@
     for name, variable in _SECRET_VARIABLE_BY_NAME.items():
         if environment.get(variable):
             document.value[name] = environment[variable]
-    made, found = yamlfile.check(document, Settings)
+    loaded, found = yamlfile.check(document, Settings)
     if found:
         raise findings.FindingsError(found)
-    return made
+    return loaded
 
 
 def _defaults():
--- a/packages/declare/sesamespindle/declare/yamlfile.py
+++ b/packages/declare/sesamespindle/declare/yamlfile.py
@@ -16,7 +16,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Place:
+class Position:
     """A position in a file; line and column start at 1."""
 
     line: int
@@ -33,25 +33,27 @@
         The file that findings name.
     value : object
         The plain value: mappings, sequences and scalars.
-    place_by_path : dict of tuple to Place
+    position_by_path : dict of tuple to Position
         Positions of values, by the path of keys and indices from the document's root.
     """
 
     file: str
     value: object
-    place_by_path: dict
+    position_by_path: dict
 
-    def place(self, path):
+    def position(self, path):
         """Return the position of a path, or of its nearest ancestor that has one."""
         path = tuple(path)
-        while path not in self.place_by_path and path:
+        while path not in self.position_by_path and path:
             path = path[:-1]
-        return self.place_by_path.get(path, Place(1, 1))
+        return self.position_by_path.get(path, Position(1, 1))
 
     def finding(self, path, code, message):
         """Return a finding at the position of a path."""
-        place = self.place(path)
-        return findings.Finding(self.file, place.line, place.column, code, message)
+        position = self.position(path)
+        return findings.Finding(
+            self.file, position.line, position.column, code, message
+        )
 
 
 def read(file, text):
@@ -73,7 +75,7 @@
     documents = []
     try:
         while loader.check_node():
-            documents.append(_document(file, loader, loader.get_node()))
+            documents.append(_read_document(file, loader, loader.get_node()))
     except yaml.MarkedYAMLError as error:
         mark = error.problem_mark or error.context_mark
         line, column = (mark.line + 1, mark.column + 1) if mark else (1, 1)
@@ -100,7 +102,7 @@
 
     Returns
     -------
-    made : object or None
+    validated : object or None
         The validated model, or None if there are findings.
     found : list of findings.Finding
         All errors in the document.
@@ -113,27 +115,27 @@
     try:
         return model.model_validate(value), []
     except pydantic.ValidationError as error:
-        return None, [_finding(document, model, item) for item in error.errors()]
+        return None, [_finding_of(document, model, item) for item in error.errors()]
 
 
-def _document(file, loader, node):
-    place_by_path = {}
-    _collect_places(node, (), place_by_path)
-    return Document(file, loader.construct_document(node), place_by_path)
+def _read_document(file, loader, node):
+    position_by_path = {}
+    _collect_positions(node, (), position_by_path)
+    return Document(file, loader.construct_document(node), position_by_path)
 
 
-def _collect_places(node, path, place_by_path):
+def _collect_positions(node, path, position_by_path):
     mark = node.start_mark
-    place_by_path.setdefault(path, Place(mark.line + 1, mark.column + 1))
+    position_by_path.setdefault(path, Position(mark.line + 1, mark.column + 1))
     match node:
         case yaml.MappingNode():
-            _collect_mapping(node, path, place_by_path)
+            _collect_mapping(node, path, position_by_path)
         case yaml.SequenceNode():
             for index, item in enumerate(node.value):
-                _collect_places(item, (*path, index), place_by_path)
+                _collect_positions(item, (*path, index), position_by_path)
 
 
-def _collect_mapping(node, path, place_by_path):
+def _collect_mapping(node, path, position_by_path):
     seen = set()
     for key, item in node.value:
         if key.value in seen:
@@ -143,18 +145,18 @@
             )
         seen.add(key.value)
         mark = key.start_mark
-        place_by_path[(*path, key.value)] = Place(mark.line + 1, mark.column + 1)
-        _collect_places(item, (*path, key.value), place_by_path)
+        position_by_path[(*path, key.value)] = Position(mark.line + 1, mark.column + 1)
+        _collect_positions(item, (*path, key.value), position_by_path)
 
 
-def _finding(document, model, item):
+def _finding_of(document, model, item):
     path = item["loc"]
     code = _CODE_BY_PYDANTIC_TYPE.get(item["type"], "wrong_value")
     name = ".".join(str(part) for part in path)
     match code:
         case "unknown_key":
             message = f"The key {name!r} is unknown."
-            message += _nearest(str(path[-1]), model, path[:-1])
+            message += _suggestion(str(path[-1]), model, path[:-1])
         case "missing_key":
             message = f"The key {name!r} is missing."
         case _:
@@ -162,12 +164,12 @@
     return document.finding(path, code, message)
 
 
-def _nearest(key, model, path):
+def _suggestion(key, model, path):
     for part in path:
         model = _inner_model(model, part)
     names = list(model.model_fields) if model else []
-    near = difflib.get_close_matches(key, names, n=1)
-    return f" Did you mean {near[0]!r}?" if near else ""
+    close = difflib.get_close_matches(key, names, n=1)
+    return f" Did you mean {close[0]!r}?" if close else ""
 
 
 def _inner_model(model, part):
@@ -176,8 +178,8 @@
     field = model.model_fields.get(part)
     if field is None:
         return None
-    kinds = [field.annotation, *getattr(field.annotation, "__args__", ())]
-    for kind in kinds:
-        if isinstance(kind, type) and issubclass(kind, pydantic.BaseModel):
-            return kind
+    types = [field.annotation, *getattr(field.annotation, "__args__", ())]
+    for type_ in types:
+        if isinstance(type_, type) and issubclass(type_, pydantic.BaseModel):
+            return type_
     return None
