--- a/packages/cli/sesamespindle/cli/changes.py
+++ b/packages/cli/sesamespindle/cli/changes.py
@@ -1,4 +1,9 @@
-"""Comparing and applying whole sets of declarations."""
+"""Comparing and applying complete sets of declarations.
+
+A base file records the head that a folder of declarations was written on. It lets an
+apply distinguish the folder's own changes from those that other operators have made
+since.
+"""
 
 import dataclasses
 import json
@@ -13,7 +18,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Change:
-    """What an apply would add, change and remove, by key."""
+    """The keys of entities that an apply would add, change and remove."""
 
     added: tuple[str, ...]
     changed: tuple[str, ...]
@@ -24,17 +29,17 @@
 
     @property
     def touched(self):
-        """Return all keys of the change."""
+        """Return the set of all keys in the change."""
         return {*self.added, *self.changed, *self.removed}
 
     def lines(self):
-        """Return the change as lines for people."""
+        """Return one line of text for each key, marked with ``+``, ``~`` or ``-``."""
         marks = (("+", self.added), ("~", self.changed), ("-", self.removed))
         return [f"{mark} {key}" for mark, keys in marks for key in keys]
 
 
 def compare(old, new):
-    """Return the `Change` between two mappings of keys to digests."""
+    """Return the `Change` from one mapping of keys to digests to another."""
     return Change(
         tuple(sorted(new.keys() - old.keys())),
         tuple(sorted(key for key in new.keys() & old.keys() if new[key] != old[key])),
@@ -48,7 +53,7 @@
 
 
 def read_base(path):
-    """Return the head that a set of declarations was written on, or None."""
+    """Return the `head.Head` that a base file records, or None if there is no file."""
     if path is None or not path.exists():
         return None
     value = json.loads(path.read_text("utf-8"))
@@ -56,25 +61,44 @@
 
 
 def write_base(path, entity_by_key, revision):
-    """Keep the set that is now in force, for the next change of the folder."""
+    """Write the base file that the folder's next change is compared with."""
     value = {"revision": revision, "digest_by_key": digests(entity_by_key)}
     path.write_text(json.dumps(value, indent=1, sort_keys=True) + "\n", "utf-8")
 
 
 async def apply(client, entity_by_key, written_on=None):
-    """Put a set of declarations in force and return the new head.
-
-    Guards against a folder that is behind taking another operator's change
-    back: only what changed since the head that it was written on (without one,
-    the head as it is now) is applied, on top of whatever is in force, unless
-    both changed the same key. The whole set is checked again on every new head:
-    guards against two changes that are right one by one and wrong together,
-    such as two contracts that exceed a pool's limit.
+    """Activate a set of declarations and return the new head.
+
+    Guards against an outdated folder that reverts another operator's change. Only
+    the difference between the folder and its base head is applied, on top of the
+    active configuration; if both sides changed the same key, the apply fails.
+    Without a base head, the folder is compared with the current head.
+
+    Guards against two changes that are each valid but invalid together, such as two
+    contracts that together exceed a pool's limit. The combined set is validated
+    again on every head that differs from the base.
+
+    Parameters
+    ----------
+    client : platform.PlatformClient
+        The platform's client.
+    entity_by_key : dict of str to documents.Entity
+        The complete new set.
+    written_on : head.Head, optional
+        The base head, which the set was written on.
+
+    Returns
+    -------
+    new_head : head.Head
+        The new head, or the current one if the set changes nothing.
 
     Raises
     ------
     outcomes.CommandError
-        If the changes conflict, or the platform can't say.
+        If the change conflicts with another one, the combined set is invalid, or
+        other changes come first in every attempt.
+    platform.PlatformAwayError
+        If the platform is unavailable; the change may or may not have taken effect.
     """
     current = await head.read(client)
     base = written_on or current.head
@@ -93,13 +117,13 @@
         except platform.ConflictError as error:
             current = head.from_object(error.found)
     raise outcomes.CommandError(
-        f"Others changed the declarations {_MOST_TRIES} times in between.",
+        f"Other changes came first in {_MOST_TRIES} attempts in a row.",
         outcomes.Exit.CONFLICT,
     )
 
 
 def _rebase(base, current, change, wanted):
-    """Return the change on top of another head."""
+    """Return the digests by key of the current head with the change applied to it."""
     between = compare(base.digest_by_key, current.head.digest_by_key)
     both = sorted(
         key
@@ -126,6 +150,6 @@
         documents.from_contents(content_by_digest.values())
     except findings.FindingsError as error:
         raise outcomes.CommandError(
-            f"With another operator's change the whole set is wrong: {error}",
+            f"Combined with another operator's change, the set is invalid: {error}",
             outcomes.Exit.CONFLICT,
         ) from error
--- a/packages/cli/sesamespindle/cli/context.py
+++ b/packages/cli/sesamespindle/cli/context.py
@@ -1,4 +1,4 @@
-"""What commands need of the outside: the platform, daemons, and the time."""
+"""Connections of a command to the platform and the daemons, and its variables."""
 
 import asyncio
 import contextlib
@@ -20,7 +20,10 @@
 
 
 class Context:
-    """Open connections for one command."""
+    """The HTTP session and the environment variables of one command.
+
+    Accessing a value whose variable is not set raises `outcomes.CommandError`.
+    """
 
     def __init__(self, session, environment):
         self.session = session
@@ -28,17 +31,29 @@
 
     @property
     def platform(self):
-        """Return the platform's client."""
+        """Return a client of the platform."""
         url = self._required(PLATFORM_VARIABLE, "the platform's address")
         return platform.PlatformClient(self.session, url, _PLATFORM_TIMEOUT)
 
     @property
     def api_key(self):
-        """Return the caller's key."""
+        """Return the client account's API key."""
         return self._required(API_KEY_VARIABLE, "a client account's key")
 
     async def entry_urls(self, given):
-        """Return the addresses of entries to try, the given one first."""
+        """Return the URLs of entries to try in turn.
+
+        Parameters
+        ----------
+        given : str
+            A URL from the command line; empty if there is none.
+
+        Returns
+        -------
+        urls : list of str
+            The given URL alone, else that of the environment alone, else those of
+            all entries on the platform's host list.
+        """
         url = given or self._environment.get(ENTRY_VARIABLE)
         if url:
             return [url]
@@ -46,7 +61,11 @@
         return [host.url for host in hosts if host.role == "entry"]
 
     async def admin_urls(self):
-        """Return the operators' addresses of the daemons."""
+        """Return the admin URLs of all daemons.
+
+        They come from the environment if it has any, which also works while the
+        platform is unavailable; else from the platform's host list.
+        """
         given = self._environment.get(ADMIN_URLS_VARIABLE)
         if given:
             return given.split(",")
@@ -54,7 +73,7 @@
         return [host.admin_url for host in hosts if host.role == "entry"]
 
     async def ask_daemons(self, path):
-        """Return the answers of all daemons that answer, by address."""
+        """Return the JSON answers of all daemons that respond, by admin URL."""
         urls = await self.admin_urls()
         answers = await asyncio.gather(*(self.ask_daemon(url, path) for url in urls))
         return {
@@ -64,7 +83,13 @@
         }
 
     async def ask_daemon(self, url, path, method="GET"):
-        """Return a daemon's answer to an operator, or None."""
+        """Return the JSON answer of a daemon's admin API, or None on a failure.
+
+        Raises
+        ------
+        outcomes.CommandError
+            If the daemon rejects the operators' key.
+        """
         key = self._required(ADMIN_KEY_VARIABLE, "the operators' key")
         timeout = aiohttp.ClientTimeout(total=_DAEMON_SECONDS)
         try:
@@ -76,7 +101,7 @@
             ) as response:
                 if response.status == 401:
                     raise outcomes.CommandError(
-                        f"The daemon at {url} does not know the operators' key.",
+                        f"The daemon at {url} rejects the operators' key.",
                         outcomes.Exit.USAGE,
                     )
                 return await response.json() if response.status == 200 else None
@@ -94,6 +119,6 @@
 
 @contextlib.asynccontextmanager
 async def open_context():
-    """Open a `Context` for one command."""
+    """Yield a `Context` for one command; close its session at the end."""
     async with aiohttp.ClientSession() as session:
         yield Context(session, os.environ)
--- a/packages/cli/sesamespindle/cli/explain.py
+++ b/packages/cli/sesamespindle/cli/explain.py
@@ -1,19 +1,21 @@
-"""From a request's id to its cause, over the logs of all daemons."""
+"""Explaining a request's outcome from its id and the logs of all daemons."""
 
 import dataclasses
 import datetime
 import json
 import re
 
-# Lines of a daemon that lie this close to a request's are shown beside it.
+# Lines that concern no request are shown if they are at most this much earlier or
+# later than the request's own lines, from the same host.
 _NEAR = datetime.timedelta(seconds=3)
 _CONTEXT_PARTS = ("decide", "platform", "daemon")
 _FINGERPRINT = re.compile(r"\b[0-9a-f]{32}\b")
-# First match wins; the strongest sign of a cause comes first.
+# Pairs of a text in log messages and the cause that it indicates. The first match
+# wins, so the texts that indicate a cause most strongly come first.
 _CAUSES = (
     (
         "Cut off:",
-        "The target stopped in the middle of an answer that can't be continued.",
+        "The target stopped in the middle of an answer that can't be resumed.",
     ),
     (
         "Cut off by the end of this host",
@@ -21,41 +23,60 @@
     ),
     (
         "unknown_key",
-        "The API key isn't in the configuration that the host had in force.",
+        "The API key isn't in the configuration that was active on the host.",
     ),
-    ("no_route", "No route of the configuration in force matches host and path."),
-    ("not_ready", "The host had no configuration yet; it had just started."),
+    ("no_route", "No route of the active configuration matches the host and path."),
+    ("not_ready", "The host had just started and had no configuration yet."),
     (
         "Refused: quarantined",
         "Targets crash under this request, so it is sent to none.",
     ),
     (
         "Refused: suspected",
-        "Targets crashed under this request; hosts waited for what others saw.",
+        "Targets crashed under this request; the host waited for other hosts' reports.",
+    ),
+    (
+        "shutting_down",
+        "The host was leaving and would have stopped before it could answer.",
     ),
-    ("shutting_down", "The host was leaving and would have ended too soon."),
     ("Refused: overloaded", "All targets were too busy to answer in time."),
     ("Refused: no_target", "The host knew no target that could take the request."),
     (
         "ended: silent",
-        "The target did not begin to answer in the time it usually needs.",
+        "The target did not start to answer within the time that it usually needs.",
     ),
     (
         "ended: withdrawn",
         "The request waited at its target until the target's weights were too old.",
     ),
-    ("ended: lost", "The connection to the target broke before a whole answer came."),
+    (
+        "ended: lost",
+        "The connection to the target broke before the answer was complete.",
+    ),
     ("ended: failed", "The target ran the request and answered with a failure."),
-    ("ended: timeout", "The request's time was over before its answer was whole."),
+    ("ended: timeout", "The request's timeout passed before the answer was complete."),
     ("ended: unreachable", "No connection to the target could be made."),
-    ("The caller has left", "The caller closed its connection before the answer."),
+    (
+        "The caller has left",
+        "The caller closed its connection before the answer was complete.",
+    ),
+)
+_UNKNOWN_CAUSE = (
+    "The logs show no failure: the request was answered, or lines are missing."
 )
-_UNKNOWN_CAUSE = "The logs show no fault: the request was answered, or no line is left."
 
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
 class Line:
-    """One line of a daemon's log."""
+    """One line of a daemon's log.
+
+    Attributes
+    ----------
+    part : str
+        The part of the daemon that wrote the line.
+    request : str
+        The request's id; ``-`` if the line concerns no request.
+    """
 
     at: datetime.datetime
     host: str
@@ -70,12 +91,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Explanation:
-    """What the logs tell of one request.
+    """The lines of the logs that explain one request.
 
     Attributes
     ----------
+    request : str
+        The request's full id.
+    decisions : tuple of Line
+        The request's own lines.
+    beside : tuple of Line
+        Lines that concern no request, from the same hosts at about the same time.
+    cause : str
+        The likely cause, as a sentence.
     crashes : tuple of Line
-        What any host tells of crashes under it, in any of its attempts.
+        Lines of any host about target crashes with this request in flight, in any
+        of its attempts.
     """
 
     request: str
@@ -100,10 +130,20 @@
 
 
 def read(paths):
-    """Return the lines of several logs in the order of their times.
+    """Return the lines of several logs, ordered by time.
+
+    Anything but JSON lines of a daemon is skipped, as is text before the JSON, so
+    that the output of a process manager can be given unchanged.
 
-    What isn't a line of a daemon's log is passed over, so that the output of a
-    process manager may be given as it is.
+    Parameters
+    ----------
+    paths : iterable of pathlib.Path
+        The log files.
+
+    Raises
+    ------
+    OSError
+        If a file can't be read.
     """
     lines = []
     for path in paths:
@@ -115,7 +155,15 @@
 
 
 def explain(lines, request):
-    """Return the `Explanation` of a request, whose id may be shortened."""
+    """Return the `Explanation` of a request.
+
+    Parameters
+    ----------
+    lines : list of Line
+        The lines of all logs, ordered by time.
+    request : str
+        The request's id, or its beginning.
+    """
     decisions = tuple(line for line in lines if line.request.startswith(request))
     if not decisions:
         return Explanation(request, (), (), _UNKNOWN_CAUSE)
@@ -136,7 +184,11 @@
 
 
 def _crashes_under(lines, decisions):
-    """Return the lines of no request that name the fingerprint of this one."""
+    """Return the lines about crashes with this request in flight.
+
+    They concern no request by id; they contain the request's fingerprint, which one
+    of its own lines names.
+    """
     fingerprints = {
         found for line in decisions for found in _FINGERPRINT.findall(line.message)
     }
--- a/packages/cli/sesamespindle/cli/main.py
+++ b/packages/cli/sesamespindle/cli/main.py
@@ -1,4 +1,4 @@
-"""The command line of operators and callers."""
+"""The `sesamespindle` command for operators and callers."""
 
 import asyncio
 import json
@@ -21,7 +21,7 @@
 
 app = cyclopts.App(
     name="sesamespindle",
-    help="Declare, apply and look after a sesamespindle fleet.",
+    help="Declare, apply and operate a sesamespindle fleet.",
     version="0.1.0",
 )
 app.register_install_completion_command()
@@ -29,12 +29,12 @@
 
 @app.command
 def validate(folder: pathlib.Path, as_json: Json = False):
-    """Check all declarations in a folder and list everything that is wrong."""
+    """Check all declarations in a folder and list all errors."""
     entity_by_key = _read(folder, as_json)
     outcomes.print_result(
         {"findings": [], "documents": len(entity_by_key)},
         as_json,
-        f"{len(entity_by_key)} documents, nothing wrong.",
+        f"{len(entity_by_key)} documents, no errors.",
     )
 
 
@@ -67,19 +67,19 @@
     timeout: float = 30.0,
     as_json: Json = False,
 ):
-    """Put the declarations of a folder in force.
+    """Activate the declarations of a folder.
 
     Parameters
     ----------
     folder
-        The folder of YAML files; it holds the whole set.
+        The folder of YAML files; it contains the complete set.
     base
-        A file, kept beside the folder in version control, that says what the
-        folder was written on. Written anew when the change is accepted.
+        A file, kept beside the folder in version control, that records the
+        revision that the folder is based on. Updated when the change is accepted.
     wait
-        Return only when all live daemons have the new revision in force.
+        Return only when the new revision is active on all live daemons.
     timeout
-        Seconds to wait at the most.
+        The longest time to wait, in seconds.
     """
     entity_by_key = _read(folder, as_json)
 
@@ -97,7 +97,7 @@
         {"revision": moved.revision, "waited": wait},
         as_json,
         f"Revision {moved.revision} is accepted"
-        + (" and in force at all live daemons." if wait else "."),
+        + (" and active on all live daemons." if wait else "."),
     )
 
 
@@ -146,7 +146,7 @@
 
 @app.command
 def contracts(as_json: Json = False):
-    """Show every contract in force, and what its account uses now."""
+    """Show every active contract and the requests that its account runs now."""
     answers = _run(lambda opened: opened.ask_daemons("/status"))
     running = {}
     row_by_name = {}
@@ -175,7 +175,7 @@
 
 @app.command
 def drain(name: str, as_json: Json = False):
-    """Take a target or an entry out of service; all in flight is finished."""
+    """Take a target or an entry out of service; requests in flight are completed."""
 
     async def run(opened):
         answers = await opened.ask_daemons("/status")
@@ -203,7 +203,7 @@
     entry: str = "",
     as_json: Json = False,
 ):
-    """Send one prompt as a caller does, and show what became of it."""
+    """Send one prompt as a caller does, and show the answer."""
 
     async def run(opened):
         urls = await opened.entry_urls(entry)
@@ -225,12 +225,12 @@
 
 @app.command(name="timeline")
 def show_timeline(page: pathlib.Path | None = None, as_json: Json = False):
-    """Merge the event logs of all daemons into one ordered time line.
+    """Merge the event logs of all daemons into one ordered timeline.
 
     Parameters
     ----------
     page
-        Write a page to look at to this file.
+        Write the timeline as an HTML page to this file.
     """
     answers = _run(lambda opened: opened.ask_daemons("/timeline"))
     merged = timeline.merge(answer["events"] for answer in answers.values())
@@ -247,13 +247,13 @@
                 await asyncio.sleep(_WAIT_STEP_SECONDS)
     except TimeoutError as error:
         raise outcomes.CommandError(
-            f"Revision {revision} is accepted, but not yet in force everywhere.",
+            f"Revision {revision} is accepted, but not yet active on all live daemons.",
             outcomes.Exit.TIMED_OUT,
         ) from error
 
 
 async def _is_in_force(opened, revision):
-    """Return whether all live daemons have a revision, by their own word."""
+    """Return whether all live daemons themselves report at least a revision."""
     answers = await opened.ask_daemons("/status")
     in_force = {item["name"]: item["revision"] for item in answers.values()}
     live = {
@@ -269,14 +269,14 @@
 
 @app.command(name="explain")
 def explain_request(request: str, logs: list[pathlib.Path], as_json: Json = False):
-    """Show what the daemons decided on a request, and the likely cause.
+    """Show the daemons' decisions on a request and the likely cause of its outcome.
 
     Parameters
     ----------
     request
         The request's id, or its beginning.
     logs
-        Log files of any daemons; lines of others are passed over.
+        Log files of any daemons; other lines in them are skipped.
     """
     try:
         lines = explain.read(logs)
@@ -316,7 +316,7 @@
         print(finding)
     if found:
         sys.exit(int(outcomes.Exit.FINDINGS))
-    print("Nothing wrong.")
+    print("No errors found.")
 
 
 def _read(folder, as_json):
@@ -341,7 +341,7 @@
 
 
 def _run(function):
-    """Run a command's asynchronous part; show its error as one line."""
+    """Run a command's coroutine; on an error, print one line and exit."""
 
     async def run():
         async with context.open_context() as opened:
--- a/packages/cli/sesamespindle/cli/outcomes.py
+++ b/packages/cli/sesamespindle/cli/outcomes.py
@@ -1,4 +1,4 @@
-"""Exit codes, and errors that are shown as one line."""
+"""Exit codes, one-line errors, and output as JSON or as tables."""
 
 import enum
 import json
@@ -6,7 +6,25 @@
 
 
 class Exit(enum.IntEnum):
-    """What a script can tell from the exit code."""
+    """The exit codes of commands.
+
+    Attributes
+    ----------
+    OK
+        The command succeeded.
+    FINDINGS
+        Declarations are invalid, or what was named does not exist.
+    USAGE
+        An argument or an environment variable is missing or wrong.
+    AWAY
+        The platform or the daemons did not answer.
+    CONFLICT
+        The change conflicts with another operator's change.
+    REFUSED
+        An entry refused the request.
+    TIMED_OUT
+        The change was accepted, but did not become active within the timeout.
+    """
 
     OK = 0
     FINDINGS = 1
@@ -31,15 +49,17 @@
     Parameters
     ----------
     value : object
-        Plain JSON values.
+        The result as plain JSON values.
+    as_json : bool
+        Whether to print `value` rather than `text`.
     text : str
-        The same for people.
+        The result as readable text.
     """
     print(json.dumps(value, indent=2) if as_json else text)
 
 
 def table(headings, rows):
-    """Return rows of cells as aligned text."""
+    """Return headings and rows of cells as text with aligned columns."""
     cells = [[str(cell) for cell in row] for row in [headings, *rows]]
     widths = [max(len(row[index]) for row in cells) for index in range(len(headings))]
     lines = [
@@ -50,6 +70,6 @@
 
 
 def fail(error):
-    """Print an error as one line and leave with its exit code."""
+    """Print a `CommandError` to standard error and exit with its code."""
     print(f"sesamespindle: {error}", file=sys.stderr)
     sys.exit(int(error.exit_code))
--- a/packages/cli/sesamespindle/cli/sending.py
+++ b/packages/cli/sesamespindle/cli/sending.py
@@ -1,4 +1,8 @@
-"""Sending a prompt or a call as a caller does: ask for entries, then connect."""
+"""Sending a prompt or a call as a caller does.
+
+A caller first asks any entry which entries its account should use, then sends its
+requests to one of these.
+"""
 
 import dataclasses
 import json
@@ -14,12 +18,20 @@
 
 @dataclasses.dataclass
 class Sent:
-    """What came of a request.
+    """A prompt that was sent, and its answer.
 
     Attributes
     ----------
+    entry : str
+        The name of the entry that it was sent to.
+    target : str
+        The target that answered.
+    text : str
+        The text of the answer.
     first_token_seconds : float
-        From sending to the first token; 0 where none came.
+        The time to the first token, in seconds; 0 if none arrived.
+    usage : dict
+        The token counts that the answer reports.
     """
 
     entry: str
@@ -31,7 +43,16 @@
 
 
 async def choose_entry(session, urls, api_key):
-    """Return the first entry that any of the given ones tells us to use."""
+    """Return the entry to use, as JSON values.
+
+    The given URLs are tried in turn. The first one that can be reached names the
+    entries for this account, of which the first is returned.
+
+    Raises
+    ------
+    outcomes.CommandError
+        If no URL can be reached, or the entry refuses the request.
+    """
     for url in urls:
         try:
             async with session.get(
@@ -43,11 +64,17 @@
                 return value["entries"][0]
         except aiohttp.ClientConnectionError:
             continue
-    raise outcomes.CommandError("No entry answers.", outcomes.Exit.AWAY)
+    raise outcomes.CommandError("No entry is reachable.", outcomes.Exit.AWAY)
 
 
 async def send_prompt(session, entry, api_key, model, prompt, max_tokens):
-    """Stream one prompt's answer and return what came of it as `Sent`."""
+    """Send one prompt, read its streamed answer and return both as `Sent`.
+
+    Raises
+    ------
+    outcomes.CommandError
+        If the prompt is refused, or its answer ends with an error.
+    """
     sent = Sent(entry["name"])
     body = {
         "model": model,
@@ -69,7 +96,25 @@
 
 
 async def send_call(session, entry, api_key, pool, path, body, key):
-    """Make one call at a plain service and return the answer and its headers."""
+    """Make one call to a plain service.
+
+    Parameters
+    ----------
+    key : str
+        The idempotency key; empty for none.
+
+    Returns
+    -------
+    value : object
+        The answer as JSON values.
+    replayed : bool
+        Whether this is the stored answer of an earlier call with the same key.
+
+    Raises
+    ------
+    outcomes.CommandError
+        If the call is refused.
+    """
     headers = _headers(api_key)
     if key:
         headers["Idempotency-Key"] = key
@@ -83,7 +128,13 @@
 
 
 async def mint_ticket(session, entry, api_key):
-    """Return a new ticket."""
+    """Return a new ticket from an entry.
+
+    Raises
+    ------
+    outcomes.CommandError
+        If the entry refuses the request.
+    """
     async with session.post(
         f"{entry['url']}/v1/tickets", headers=_headers(api_key)
     ) as response:
@@ -111,7 +162,7 @@
     error = value["error"]
     message = f"{error['code']} ({error['outcome']}): {error['message']}"
     if error["retry_after"]:
-        message += f" Come back in {error['retry_after']} s."
+        message += f" Retry after {error['retry_after']} s."
     return outcomes.CommandError(message, outcomes.Exit.REFUSED)
 
 
--- a/packages/cli/sesamespindle/cli/timeline.py
+++ b/packages/cli/sesamespindle/cli/timeline.py
@@ -1,12 +1,14 @@
-"""Merging all daemons' event logs into one ordered time line."""
+"""Merging all daemons' event logs into one ordered timeline."""
 
 import datetime
 import html
 
+# A stamp of the hybrid logical clock is a time in milliseconds, followed by a counter
+# of this many bits.
 _COUNTER_BITS = 16
 _PAGE = """<!doctype html>
 <meta charset="utf-8">
-<title>sesamespindle time line</title>
+<title>sesamespindle timeline</title>
 <style>
 body {{ font: 13px sans-serif; margin: 1.5em; }}
 table {{ border-collapse: collapse; }}
@@ -14,8 +16,8 @@
 td.at {{ font-family: monospace; white-space: nowrap; }}
 tr.marked td {{ background: #fff3e0; }}
 </style>
-<h1>Time line</h1>
-<p>{count} events of {daemons} daemons, causes before effects.
+<h1>Timeline</h1>
+<p>{count} events of {daemons} daemons, in causal order.
 Filter: <input id="f" oninput="filter()"></p>
 <table><thead><tr><th>at (UTC)</th>{headings}</tr></thead>
 <tbody>
@@ -33,19 +35,19 @@
 
 
 def merge(logs):
-    """Return the events of several logs in causal order, each once."""
+    """Return the events of several logs in causal order, without duplicates."""
     seen = {(item["stamp"], item["daemon"]): item for log in logs for item in log}
     return [seen[key] for key in sorted(seen)]
 
 
 def time_of(event):
-    """Return the wall-clock time of an event."""
+    """Return the wall-clock time of an event in UTC, from its stamp."""
     seconds = (event["stamp"] >> _COUNTER_BITS) / 1000
     return datetime.datetime.fromtimestamp(seconds, datetime.UTC)
 
 
 def as_text(merged):
-    """Return the time line as lines."""
+    """Return the timeline as text, one line for each event."""
     lines = [
         f"{time_of(item):%H:%M:%S.%f} {item['daemon']:<12} {item['kind']:<16} "
         f"{item['subject']} {item['detail']}".rstrip()
@@ -55,7 +57,7 @@
 
 
 def as_page(merged):
-    """Return the time line as a page of its own, a column for each daemon."""
+    """Return the timeline as an HTML page with one column for each daemon."""
     daemons = sorted({item["daemon"] for item in merged})
     headings = "".join(f"<th>{html.escape(name)}</th>" for name in daemons)
     rows = "\n".join(_row(item, daemons) for item in merged)
--- a/tests/cli/test_explain.py
+++ b/tests/cli/test_explain.py
@@ -1,4 +1,4 @@
-"""From a request's id to its cause, on recorded log lines."""
+"""Explaining a request from its id, with log lines in the daemons' format."""
 
 import json
 
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def logs(tmp_path):
-    """Give the logs of two hosts, one with what a process manager adds."""
+    """Return the logs of two hosts, one with text that a process manager adds."""
     first = [
         line(2, "entry-1", "abc123", "Sent to target llm-1, attempt 1."),
         "restarted by the process manager",
@@ -42,7 +42,7 @@
     found = explain.explain(explain.read(logs), "abc")
     assert [item.message[:4] for item in found.decisions] == ["Sent", "The "]
     assert [item.message for item in found.beside] == ["target_leaving llm-1. listed"]
-    assert "broke before a whole answer" in found.cause
+    assert "broke before the answer was complete" in found.cause
 
 
 def test_says_so_when_no_line_names_the_request(logs):
@@ -75,10 +75,10 @@
 
 
 def test_an_end_of_the_host_is_told_from_a_caller_that_left(tmp_path):
-    """A host ended while an answer was on its way.
+    """A host that stops during an answer must not be logged as a caller's disconnect.
 
-    The library that serves callers reports the end of the host and a caller's
-    leaving in the same way, and the log said of both that the caller had left.
+    The HTTP server library reports both in the same way, so the log would otherwise
+    say in both cases that the caller has left.
     """
     path = tmp_path / "one.log"
     path.write_text(
--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -1,4 +1,4 @@
-"""The operators' command line, against a running fleet."""
+"""The command line, run against a running fleet."""
 
 import json
 
