--- a/packages/cli/sesamespindle/cli/changes.py
+++ b/packages/cli/sesamespindle/cli/changes.py
@@ -13,7 +13,7 @@
 from sesamespindle.declare import documents, findings
 from sesamespindle.wire import head, platform
 
-_MOST_TRIES = 20
+_MAX_ATTEMPTS = 20
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -28,7 +28,7 @@
         return bool(self.added or self.changed or self.removed)
 
     @property
-    def touched(self):
+    def all_keys(self):
         """Return the set of all keys in the change."""
         return {*self.added, *self.changed, *self.removed}
 
@@ -66,7 +66,7 @@
     path.write_text(json.dumps(value, indent=1, sort_keys=True) + "\n", "utf-8")
 
 
-async def apply(client, entity_by_key, written_on=None):
+async def apply(client, entity_by_key, base_head=None):
     """Activate a set of declarations and return the new head.
 
     Guards against an outdated folder that reverts another operator's change. Only
@@ -84,7 +84,7 @@
         The platform's client.
     entity_by_key : dict of str to documents.Entity
         The complete new set.
-    written_on : head.Head, optional
+    base_head : head.Head, optional
         The base head, which the set was written on.
 
     Returns
@@ -101,50 +101,50 @@
         If the platform is unavailable; the change may or may not have taken effect.
     """
     current = await head.read(client)
-    base = written_on or current.head
+    base = base_head or current.head
     wanted = digests(entity_by_key)
     change = compare(base.digest_by_key, wanted)
     if not change:
         return current.head
     await head.store_documents(client, entity_by_key.values())
     nonce = secrets.token_hex(8)
-    for _ in range(_MOST_TRIES):
-        target = _rebase(base, current, change, wanted)
+    for _ in range(_MAX_ATTEMPTS):
+        rebased = _rebase(base, current, change, wanted)
         if current.head.digest_by_key != base.digest_by_key:
-            await _check_together(client, target)
+            await _check_whole_set(client, rebased)
         try:
-            return await head.replace(client, current, target, nonce)
+            return await head.replace(client, current, rebased, nonce)
         except platform.ConflictError as error:
             current = head.from_object(error.found)
     raise outcomes.CommandError(
-        f"Other changes came first in {_MOST_TRIES} attempts in a row.",
+        f"Other changes came first in {_MAX_ATTEMPTS} attempts in a row.",
         outcomes.Exit.CONFLICT,
     )
 
 
 def _rebase(base, current, change, wanted):
     """Return the digests by key of the current head with the change applied to it."""
-    between = compare(base.digest_by_key, current.head.digest_by_key)
-    both = sorted(
+    concurrent = compare(base.digest_by_key, current.head.digest_by_key)
+    conflicting = sorted(
         key
-        for key in change.touched & between.touched
+        for key in change.all_keys & concurrent.all_keys
         if current.head.digest_by_key.get(key) != wanted.get(key)
     )
-    if both:
+    if conflicting:
         raise outcomes.CommandError(
-            f"Another operator changed {', '.join(both)} in revision "
+            f"Another operator changed {', '.join(conflicting)} in revision "
             f"{current.head.revision}, after revision {base.revision}.",
             outcomes.Exit.CONFLICT,
         )
-    target = dict(current.head.digest_by_key)
+    rebased = dict(current.head.digest_by_key)
     for key in (*change.added, *change.changed):
-        target[key] = wanted[key]
+        rebased[key] = wanted[key]
     for key in change.removed:
-        target.pop(key, None)
-    return target
+        rebased.pop(key, None)
+    return rebased
 
 
-async def _check_together(client, digest_by_key):
+async def _check_whole_set(client, digest_by_key):
     content_by_digest = await head.read_documents(client, set(digest_by_key.values()))
     try:
         documents.from_contents(content_by_digest.values())
--- a/packages/cli/sesamespindle/cli/context.py
+++ b/packages/cli/sesamespindle/cli/context.py
@@ -16,7 +16,7 @@
 API_KEY_VARIABLE = "SESAMESPINDLE_API_KEY"
 ENTRY_VARIABLE = "SESAMESPINDLE_ENTRY"
 _PLATFORM_TIMEOUT = datetime.timedelta(seconds=5)
-_DAEMON_SECONDS = 3.0
+_DAEMON_TIMEOUT_SECONDS = 3.0
 
 
 class Context:
@@ -91,7 +91,7 @@
             If the daemon rejects the operators' key.
         """
         key = self._required(ADMIN_KEY_VARIABLE, "the operators' key")
-        timeout = aiohttp.ClientTimeout(total=_DAEMON_SECONDS)
+        timeout = aiohttp.ClientTimeout(total=_DAEMON_TIMEOUT_SECONDS)
         try:
             async with self.session.request(
                 method,
@@ -108,11 +108,11 @@
         except (TimeoutError, aiohttp.ClientError, ValueError):
             return None
 
-    def _required(self, variable, what):
+    def _required(self, variable, description):
         value = self._environment.get(variable)
         if not value:
             raise outcomes.CommandError(
-                f"Set {variable} to {what}.", outcomes.Exit.USAGE
+                f"Set {variable} to {description}.", outcomes.Exit.USAGE
             )
         return value
 
--- a/packages/cli/sesamespindle/cli/explain.py
+++ b/packages/cli/sesamespindle/cli/explain.py
@@ -7,7 +7,7 @@
 
 # Lines that concern no request are shown if they are at most this much earlier or
 # later than the request's own lines, from the same host.
-_NEAR = datetime.timedelta(seconds=3)
+_CONTEXT_WINDOW = datetime.timedelta(seconds=3)
 _CONTEXT_PARTS = ("decide", "platform", "daemon")
 _FINGERPRINT = re.compile(r"\b[0-9a-f]{32}\b")
 # Pairs of a text in log messages and the cause that it indicates. The first match
@@ -99,7 +99,7 @@
         The request's full id.
     decisions : tuple of Line
         The request's own lines.
-    beside : tuple of Line
+    nearby : tuple of Line
         Lines that concern no request, from the same hosts at about the same time.
     cause : str
         The likely cause, as a sentence.
@@ -110,7 +110,7 @@
 
     request: str
     decisions: tuple[Line, ...]
-    beside: tuple[Line, ...]
+    nearby: tuple[Line, ...]
     cause: str
     crashes: tuple[Line, ...] = ()
 
@@ -119,9 +119,9 @@
             return f"No line of any log names request {self.request}."
         lines = [f"Request {self.request}:"]
         lines += [f"  {line}" for line in self.decisions]
-        if self.beside:
+        if self.nearby:
             lines.append("On the same hosts, at about that time:")
-            lines += [f"  {line}" for line in self.beside]
+            lines += [f"  {line}" for line in self.nearby]
         if self.crashes:
             lines.append("Crashes under it, on all hosts:")
             lines += [f"  {line}" for line in self.crashes]
@@ -168,8 +168,8 @@
     if not decisions:
         return Explanation(request, (), (), _UNKNOWN_CAUSE)
     hosts = {line.host for line in decisions}
-    first, last = decisions[0].at - _NEAR, decisions[-1].at + _NEAR
-    beside = tuple(
+    first, last = decisions[0].at - _CONTEXT_WINDOW, decisions[-1].at + _CONTEXT_WINDOW
+    nearby = tuple(
         line
         for line in lines
         if line.request == "-"
@@ -179,7 +179,7 @@
     )
     crashes = _crashes_under(lines, decisions)
     return Explanation(
-        decisions[0].request, decisions, beside, _cause(decisions), crashes
+        decisions[0].request, decisions, nearby, _cause(decisions), crashes
     )
 
 
@@ -201,9 +201,9 @@
 
 
 def _cause(decisions):
-    said = "\n".join(line.message for line in decisions)
-    for sign, cause in _CAUSES:
-        if sign in said:
+    messages = "\n".join(line.message for line in decisions)
+    for text, cause in _CAUSES:
+        if text in messages:
             return cause
     return _UNKNOWN_CAUSE
 
--- a/packages/cli/sesamespindle/cli/main.py
+++ b/packages/cli/sesamespindle/cli/main.py
@@ -17,7 +17,7 @@
 Json = typing.Annotated[
     bool, cyclopts.Parameter(name="--json", help="Print JSON.", negative="")
 ]
-_WAIT_STEP_SECONDS = 0.1
+_POLL_INTERVAL_SECONDS = 0.1
 
 app = cyclopts.App(
     name="sesamespindle",
@@ -30,7 +30,7 @@
 @app.command
 def validate(folder: pathlib.Path, as_json: Json = False):
     """Check all declarations in a folder and list all errors."""
-    entity_by_key = _read(folder, as_json)
+    entity_by_key = _read_declarations(folder, as_json)
     outcomes.print_result(
         {"findings": [], "documents": len(entity_by_key)},
         as_json,
@@ -41,10 +41,10 @@
 @app.command
 def diff(folder: pathlib.Path, as_json: Json = False):
     """Show what applying a folder would change."""
-    entity_by_key = _read(folder, as_json)
+    entity_by_key = _read_declarations(folder, as_json)
 
-    async def run(opened):
-        stored = await head.read(opened.platform)
+    async def run(ctx):
+        stored = await head.read(ctx.platform)
         return stored.head
 
     current = _run(run)
@@ -81,22 +81,22 @@
     timeout
         The longest time to wait, in seconds.
     """
-    entity_by_key = _read(folder, as_json)
+    entity_by_key = _read_declarations(folder, as_json)
 
-    async def run(opened):
-        written_on = changes.read_base(base)
-        moved = await changes.apply(opened.platform, entity_by_key, written_on)
+    async def run(ctx):
+        base_head = changes.read_base(base)
+        new_head = await changes.apply(ctx.platform, entity_by_key, base_head)
         if base is not None:
-            changes.write_base(base, entity_by_key, moved.revision)
+            changes.write_base(base, entity_by_key, new_head.revision)
         if wait:
-            await _wait_in_force(opened, moved.revision, timeout)
-        return moved
+            await _wait_until_active(ctx, new_head.revision, timeout)
+        return new_head
 
-    moved = _run(run)
+    new_head = _run(run)
     outcomes.print_result(
-        {"revision": moved.revision, "waited": wait},
+        {"revision": new_head.revision, "waited": wait},
         as_json,
-        f"Revision {moved.revision} is accepted"
+        f"Revision {new_head.revision} is accepted"
         + (" and active on all live daemons." if wait else "."),
     )
 
@@ -104,7 +104,7 @@
 @app.command
 def status(as_json: Json = False):
     """Show every daemon: its state, revision and requests in flight."""
-    answers = _run(lambda opened: opened.ask_daemons("/status"))
+    answers = _run(lambda ctx: ctx.ask_daemons("/status"))
     rows = [
         (
             item["name"],
@@ -126,11 +126,13 @@
 def entries(entry: str = "", as_json: Json = False):
     """Show which entries the account of SESAMESPINDLE_API_KEY should use."""
 
-    async def run(opened):
-        urls = await opened.entry_urls(entry)
-        headers = {"Authorization": f"Bearer {opened.api_key}"}
-        async with opened.session.get(f"{urls[0]}/v1/entries", headers=headers) as got:
-            return await got.json()
+    async def run(ctx):
+        urls = await ctx.entry_urls(entry)
+        headers = {"Authorization": f"Bearer {ctx.api_key}"}
+        async with ctx.session.get(
+            f"{urls[0]}/v1/entries", headers=headers
+        ) as response:
+            return await response.json()
 
     value = _run(run)
     if "error" in value:
@@ -147,7 +149,7 @@
 @app.command
 def contracts(as_json: Json = False):
     """Show every active contract and the requests that its account runs now."""
-    answers = _run(lambda opened: opened.ask_daemons("/status"))
+    answers = _run(lambda ctx: ctx.ask_daemons("/status"))
     running = {}
     row_by_name = {}
     for answer in answers.values():
@@ -177,14 +179,14 @@
 def drain(name: str, as_json: Json = False):
     """Take a target or an entry out of service; requests in flight are completed."""
 
-    async def run(opened):
-        answers = await opened.ask_daemons("/status")
+    async def run(ctx):
+        answers = await ctx.ask_daemons("/status")
         for url, answer in answers.items():
             if answer["name"] == name:
-                return await opened.ask_daemon(url, "/drain", method="POST")
+                return await ctx.ask_daemon(url, "/drain", method="POST")
         path = f"/targets/{name}/drain"
         for url in answers:
-            drained = await opened.ask_daemon(url, path, method="POST")
+            drained = await ctx.ask_daemon(url, path, method="POST")
             if drained:
                 return drained
         raise outcomes.CommandError(
@@ -205,11 +207,11 @@
 ):
     """Send one prompt as a caller does, and show the answer."""
 
-    async def run(opened):
-        urls = await opened.entry_urls(entry)
-        chosen = await sending.choose_entry(opened.session, urls, opened.api_key)
+    async def run(ctx):
+        urls = await ctx.entry_urls(entry)
+        chosen = await sending.choose_entry(ctx.session, urls, ctx.api_key)
         return await sending.send_prompt(
-            opened.session, chosen, opened.api_key, model, prompt, max_tokens
+            ctx.session, chosen, ctx.api_key, model, prompt, max_tokens
         )
 
     sent = _run(run)
@@ -232,7 +234,7 @@
     page
         Write the timeline as an HTML page to this file.
     """
-    answers = _run(lambda opened: opened.ask_daemons("/timeline"))
+    answers = _run(lambda ctx: ctx.ask_daemons("/timeline"))
     merged = timeline.merge(answer["events"] for answer in answers.values())
     if page is not None:
         page.write_text(timeline.as_page(merged), "utf-8")
@@ -240,11 +242,11 @@
     outcomes.print_result(merged, as_json, timeline.as_text(merged))
 
 
-async def _wait_in_force(opened, revision, timeout):
+async def _wait_until_active(ctx, revision, timeout):
     try:
         async with asyncio.timeout(timeout):
-            while not await _is_in_force(opened, revision):
-                await asyncio.sleep(_WAIT_STEP_SECONDS)
+            while not await _is_active(ctx, revision):
+                await asyncio.sleep(_POLL_INTERVAL_SECONDS)
     except TimeoutError as error:
         raise outcomes.CommandError(
             f"Revision {revision} is accepted, but not yet active on all live daemons.",
@@ -252,18 +254,21 @@
         ) from error
 
 
-async def _is_in_force(opened, revision):
+async def _is_active(ctx, revision):
     """Return whether all live daemons themselves report at least a revision."""
-    answers = await opened.ask_daemons("/status")
-    in_force = {item["name"]: item["revision"] for item in answers.values()}
+    answers = await ctx.ask_daemons("/status")
+    active_revision_by_name = {
+        item["name"]: item["revision"] for item in answers.values()
+    }
     live = {
         row["name"]
         for item in answers.values()
         for row in item["entries"]
         if row["state"] == "live"
     }
-    return bool(in_force) and all(
-        in_force.get(name, 0) >= revision for name in live | in_force.keys()
+    return bool(active_revision_by_name) and all(
+        active_revision_by_name.get(name, 0) >= revision
+        for name in live | active_revision_by_name.keys()
     )
 
 
@@ -286,7 +291,7 @@
     value = {
         "request": explanation.request,
         "decisions": [str(line) for line in explanation.decisions],
-        "beside": [str(line) for line in explanation.beside],
+        "beside": [str(line) for line in explanation.nearby],
         "cause": explanation.cause,
     }
     outcomes.print_result(value, as_json, str(explanation))
@@ -319,7 +324,7 @@
     print("No errors found.")
 
 
-def _read(folder, as_json):
+def _read_declarations(folder, as_json):
     try:
         return documents.read_folder(folder)
     except findings.FindingsError as error:
@@ -344,8 +349,8 @@
     """Run a command's coroutine; on an error, print one line and exit."""
 
     async def run():
-        async with context.open_context() as opened:
-            return await function(opened)
+        async with context.open_context() as ctx:
+            return await function(ctx)
 
     try:
         return asyncio.run(run())
--- a/packages/cli/sesamespindle/cli/sending.py
+++ b/packages/cli/sesamespindle/cli/sending.py
@@ -12,8 +12,8 @@
 
 from sesamespindle.cli import outcomes
 
-_DATA = "data: "
-_ID = "id: "
+_DATA_PREFIX = "data: "
+_ID_PREFIX = "id: "
 
 
 @dataclasses.dataclass
@@ -60,7 +60,7 @@
             ) as response:
                 value = await response.json()
                 if response.status != 200:
-                    raise _refusal(value)
+                    raise _refusal_error(value)
                 return value["entries"][0]
         except aiohttp.ClientConnectionError:
             continue
@@ -83,15 +83,15 @@
         "stream": True,
         "stream_options": {"include_usage": True},
     }
-    begun = time.monotonic()
+    sent_at = time.monotonic()
     async with session.post(
         f"{entry['url']}/v1/chat/completions", json=body, headers=_headers(api_key)
     ) as response:
         if response.status != 200:
-            raise _refusal(await response.json())
+            raise _refusal_error(await response.json())
         sent.target = response.headers.get("X-Sesamespindle-Target", "")
         async for line in response.content:
-            _take_line(sent, line.decode().strip(), begun)
+            _add_line(sent, line.decode().strip(), sent_at)
     return sent
 
 
@@ -123,7 +123,7 @@
     ) as response:
         value = await response.json()
         if "error" in value:
-            raise _refusal(value)
+            raise _refusal_error(value)
         return value, response.headers.get("Idempotent-Replayed") == "true"
 
 
@@ -140,25 +140,25 @@
     ) as response:
         value = await response.json()
         if response.status != 201:
-            raise _refusal(value)
+            raise _refusal_error(value)
         return value["ticket"]
 
 
-def _take_line(sent, line, begun):
-    if not line.startswith(_DATA) or line == "data: [DONE]":
+def _add_line(sent, line, sent_at):
+    if not line.startswith(_DATA_PREFIX) or line == "data: [DONE]":
         return
-    value = json.loads(line[len(_DATA) :])
+    value = json.loads(line[len(_DATA_PREFIX) :])
     if "error" in value:
-        raise _refusal(value)
+        raise _refusal_error(value)
     sent.usage = value.get("usage") or sent.usage
     for choice in value["choices"]:
         text = choice["delta"].get("content")
         if text and not sent.first_token_seconds:
-            sent.first_token_seconds = time.monotonic() - begun
+            sent.first_token_seconds = time.monotonic() - sent_at
         sent.text += text or ""
 
 
-def _refusal(value):
+def _refusal_error(value):
     error = value["error"]
     message = f"{error['code']} ({error['outcome']}): {error['message']}"
     if error["retry_after"]:
--- a/packages/cli/sesamespindle/cli/timeline.py
+++ b/packages/cli/sesamespindle/cli/timeline.py
@@ -31,13 +31,21 @@
 }}
 </script>
 """
-_MARKED_KINDS = {"refuse", "resume", "entry_dead", "target_failed", "target_leaving"}
+_HIGHLIGHTED_KINDS = {
+    "refuse",
+    "resume",
+    "entry_dead",
+    "target_failed",
+    "target_leaving",
+}
 
 
 def merge(logs):
     """Return the events of several logs in causal order, without duplicates."""
-    seen = {(item["stamp"], item["daemon"]): item for log in logs for item in log}
-    return [seen[key] for key in sorted(seen)]
+    event_by_key = {
+        (item["stamp"], item["daemon"]): item for log in logs for item in log
+    }
+    return [event_by_key[key] for key in sorted(event_by_key)]
 
 
 def time_of(event):
@@ -60,7 +68,7 @@
     """Return the timeline as an HTML page with one column for each daemon."""
     daemons = sorted({item["daemon"] for item in merged})
     headings = "".join(f"<th>{html.escape(name)}</th>" for name in daemons)
-    rows = "\n".join(_row(item, daemons) for item in merged)
+    rows = "\n".join(_page_row(item, daemons) for item in merged)
     return _PAGE.format(
         count=len(merged),
         daemons=len(daemons),
@@ -69,11 +77,11 @@
     )
 
 
-def _row(item, daemons):
+def _page_row(item, daemons):
     text = html.escape(f"{item['kind']} {item['subject']} {item['detail']}")
     cells = "".join(
         f"<td>{text if name == item['daemon'] else ''}</td>" for name in daemons
     )
-    marked = " class=marked" if item["kind"] in _MARKED_KINDS else ""
+    marked = " class=marked" if item["kind"] in _HIGHLIGHTED_KINDS else ""
     at = f"{time_of(item):%H:%M:%S.%f}"
     return f"<tr{marked}><td class=at>{at}</td>{cells}</tr>"
--- a/tests/cli/test_explain.py
+++ b/tests/cli/test_explain.py
@@ -38,43 +38,43 @@
     return paths
 
 
-def test_shows_the_decisions_in_order_and_the_cause(logs):
+def test_decisions_are_shown_in_order_with_the_cause(logs):
     found = explain.explain(explain.read(logs), "abc")
     assert [item.message[:4] for item in found.decisions] == ["Sent", "The "]
-    assert [item.message for item in found.beside] == ["target_leaving llm-1. listed"]
+    assert [item.message for item in found.nearby] == ["target_leaving llm-1. listed"]
     assert "broke before the answer was complete" in found.cause
 
 
-def test_says_so_when_no_line_names_the_request(logs):
+def test_unknown_request_is_reported(logs):
     found = explain.explain(explain.read(logs), "nobody")
     assert str(found) == "No line of any log names request nobody."
 
 
-def test_crashes_behind_a_refusal_are_shown_from_all_hosts(tmp_path):
+def test_crashes_that_led_to_a_refusal_are_shown_from_all_hosts(tmp_path):
     name = "0f" * 16
-    told = f"target_crashed llm-1. 2 requests under way: {'1e' * 16}, {name}"
-    told_elsewhere = f"request_quarantined {name}. heard"
+    crash = f"target_crashed llm-1. 2 requests under way: {'1e' * 16}, {name}"
+    quarantine = f"request_quarantined {name}. heard"
     refused = "Refused: quarantined, not_run. Targets crash under this request, 3 so "
     lines = [
-        line(1, "entry-2", "-", told, "decide"),
-        line(2, "entry-3", "-", told_elsewhere, "decide"),
+        line(1, "entry-2", "-", crash, "decide"),
+        line(2, "entry-3", "-", quarantine, "decide"),
         line(2, "entry-3", "-", f"request_quarantined {'1e' * 16}. heard", "decide"),
         line(9, "entry-1", "abc", f"{refused}far. Its fingerprint is {name}."),
     ]
     path = tmp_path / "all.log"
     path.write_text("\n".join(lines))
     found = explain.explain(explain.read([path]), "abc")
-    assert [item.message for item in found.crashes] == [told, told_elsewhere]
+    assert [item.message for item in found.crashes] == [crash, quarantine]
     assert found.cause.startswith("Targets crash under this request")
     assert "Crashes under it, on all hosts:" in str(found)
 
 
-def test_a_refusal_under_load_is_named(logs):
+def test_refusal_under_load_is_explained(logs):
     found = explain.explain(explain.read(logs), "other")
     assert found.cause == "All targets were too busy to answer in time."
 
 
-def test_an_end_of_the_host_is_told_from_a_caller_that_left(tmp_path):
+def test_end_of_the_host_is_distinguished_from_a_caller_disconnect(tmp_path):
     """A host that stops during an answer must not be logged as a caller's disconnect.
 
     The HTTP server library reports both in the same way, so the log would otherwise
@@ -93,7 +93,7 @@
     assert "grace time ended" in found.cause
 
 
-def test_a_request_that_was_taken_back_from_its_target_is_named(tmp_path):
+def test_withdrawal_from_a_target_is_explained(tmp_path):
     path = tmp_path / "one.log"
     ended = (
         "The send to target llm-1 ended: withdrawn, not begun on version 1, "
--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -30,7 +30,7 @@
     ]
 
 
-def test_entries_and_send(cli):
+def test_entries_are_listed_and_a_prompt_is_sent(cli):
     key = {"SESAMESPINDLE_API_KEY": "sk-demo-interpreters"}
     code, output = cli("entries", "--json", **key)
     assert code == 0, output
@@ -47,7 +47,7 @@
     assert "entry-1" in page.read_text()
 
 
-def test_diff_of_what_is_in_force(cli, shared_fleet):
+def test_diff_against_the_active_configuration(cli, shared_fleet):
     code, output = cli("diff", str(shared_fleet.plan.example.parent / "klantstem"))
     assert code == 0, output
     assert "+ Contract/ombudsman-liaison" in output
@@ -61,7 +61,7 @@
     assert len(output.splitlines()) == 1
 
 
-def test_drain_of_nothing(cli):
+def test_drain_of_an_unknown_name(cli):
     code, output = cli("drain", "nobody")
     assert (code, output) == (
         1,
--- a/tests/declare/test_documents.py
+++ b/tests/declare/test_documents.py
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize("name", ["umoja", "klantstem"])
-def test_examples_have_their_real_sizes(name):
+def test_examples_are_read_completely(name):
     entities = documents.read_folder(EXAMPLES / name)
     declarations = documents.to_declarations(entities)
     assert len(declarations.contracts) == 10
@@ -96,7 +96,7 @@
         ("api: other/v1\n", "wrong_api"),
     ],
 )
-def test_file_that_is_no_declaration(tmp_path, text, code):
+def test_file_that_is_not_a_declaration(tmp_path, text, code):
     (tmp_path / "file.yaml").write_text(text)
     with pytest.raises(findings.FindingsError) as caught:
         documents.read_folder(tmp_path)
