--- a/packages/cli/sesamespindle/cli/changes.py
+++ b/packages/cli/sesamespindle/cli/changes.py
@@ -71,8 +71,8 @@
 
     Guards against an outdated folder that reverts another operator's change. Only
     the difference between the folder and its base head is applied, on top of the
-    active configuration; if both sides changed the same key, the apply fails.
-    Without a base head, the folder is compared with the current head.
+    active configuration; if both sides changed the same key to different contents,
+    the apply fails. Without a base head, the folder is compared with the current head.
 
     Guards against two changes that are each valid but invalid together, such as two
     contracts that together exceed a pool's limit. The combined set is validated
--- a/packages/wire/sesamespindle/wire/engine.py
+++ b/packages/wire/sesamespindle/wire/engine.py
@@ -108,8 +108,8 @@
     session : aiohttp.ClientSession
         The HTTP session; the caller closes it.
     idle_timeout : datetime.timedelta
-        The idle timeout of a stream. Engines send data on every stream more often
-        than this, so a connection without data for longer is considered lost.
+        How long a stream may be without data. Engines send data on every stream more
+        often than this, so a connection that is idle for longer is considered lost.
     """
 
     def __init__(self, session, idle_timeout):
--- a/packages/wire/sesamespindle/wire/head.py
+++ b/packages/wire/sesamespindle/wire/head.py
@@ -149,7 +149,7 @@
     Raises
     ------
     findings.FindingsError
-        If the documents are not valid together.
+        If any document is invalid, or the documents are invalid together.
     """
     digests = head.digest_by_key.values()
     return documents.from_contents(content_by_digest[digest] for digest in digests)
--- a/packages/wire/sesamespindle/wire/platform.py
+++ b/packages/wire/sesamespindle/wire/platform.py
@@ -51,7 +51,7 @@
     url : str
         The base URL of the API.
     timeout : datetime.timedelta
-        The timeout of a call. A watch gets its own wait on top.
+        The timeout of a call. For a watch, its wait is added.
     """
 
     def __init__(self, session, url, timeout):
@@ -152,11 +152,11 @@
 
 
 async def write_confirmed(client, kind, name, value, replaces, is_ours):
-    """Write an object; if the answer is lost, read back whether the write succeeded.
+    """Write an object; if the answer is lost, read it back to confirm the write.
 
-    Guards against a write whose answer is lost after it took effect. If it counted
-    as a failure, the caller would make the same claim or change twice. The object is
-    read back, and the nonce in its value shows whether this write stored it.
+    Guards against a write whose answer is lost after the write took effect. If it
+    were treated as a failure, the caller would make the same claim or change twice.
+    The object is read back, and the nonce in its value shows which write stored it.
 
     Parameters
     ----------
