--- a/packages/cli/sesamespindle/cli/sending.py
+++ b/packages/cli/sesamespindle/cli/sending.py
@@ -1,4 +1,8 @@
-"""Sending a prompt or a call as a caller does: ask for entries, then connect."""
+"""Sending a prompt or a call as a caller does.
+
+A caller first asks any entry which entries its account should use, then sends its
+requests to one of these.
+"""
 
 import dataclasses
 import json
@@ -8,18 +12,26 @@
 
 from sesamespindle.cli import outcomes
 
-_DATA = "data: "
-_ID = "id: "
+_DATA_PREFIX = "data: "
+_ID_PREFIX = "id: "
 
 
 @dataclasses.dataclass
 class Sent:
-    """What came of a request.
+    """A prompt that was sent, and its answer.
 
     Attributes
     ----------
+    entry : str
+        The name of the entry that it was sent to.
+    target : str
+        The target that answered.
+    text : str
+        The text of the answer.
     first_token_seconds : float
-        From sending to the first token; 0 where none came.
+        The time to the first token, in seconds; 0 if none arrived.
+    usage : dict
+        The token counts that the answer reports.
     """
 
     entry: str
@@ -31,7 +43,16 @@
 
 
 async def choose_entry(session, urls, api_key):
-    """Return the first entry that any of the given ones tells us to use."""
+    """Return the entry to use, as JSON values.
+
+    The given URLs are tried in turn. The first one that can be reached names the
+    entries for this account, of which the first is returned.
+
+    Raises
+    ------
+    outcomes.CommandError
+        If no URL can be reached, or the entry refuses the request.
+    """
     for url in urls:
         try:
             async with session.get(
@@ -39,15 +60,21 @@
             ) as response:
                 value = await response.json()
                 if response.status != 200:
-                    raise _refusal(value)
+                    raise _refusal_error(value)
                 return value["entries"][0]
         except aiohttp.ClientConnectionError:
             continue
-    raise outcomes.CommandError("No entry answers.", outcomes.Exit.AWAY)
+    raise outcomes.CommandError("No entry is reachable.", outcomes.Exit.AWAY)
 
 
 async def send_prompt(session, entry, api_key, model, prompt, max_tokens):
-    """Stream one prompt's answer and return what came of it as `Sent`."""
+    """Send one prompt, read its streamed answer and return both as `Sent`.
+
+    Raises
+    ------
+    outcomes.CommandError
+        If the prompt is refused, or its answer ends with an error.
+    """
     sent = Sent(entry["name"])
     body = {
         "model": model,
@@ -56,20 +83,38 @@
         "stream": True,
         "stream_options": {"include_usage": True},
     }
-    begun = time.monotonic()
+    sent_at = time.monotonic()
     async with session.post(
         f"{entry['url']}/v1/chat/completions", json=body, headers=_headers(api_key)
     ) as response:
         if response.status != 200:
-            raise _refusal(await response.json())
+            raise _refusal_error(await response.json())
         sent.target = response.headers.get("X-Sesamespindle-Target", "")
         async for line in response.content:
-            _take_line(sent, line.decode().strip(), begun)
+            _add_line(sent, line.decode().strip(), sent_at)
     return sent
 
 
 async def send_call(session, entry, api_key, pool, path, body, key):
-    """Make one call at a plain service and return the answer and its headers."""
+    """Make one call to a plain service.
+
+    Parameters
+    ----------
+    key : str
+        The idempotency key; empty for none.
+
+    Returns
+    -------
+    value : object
+        The answer as JSON values.
+    replayed : bool
+        Whether this is the stored answer of an earlier call with the same key.
+
+    Raises
+    ------
+    outcomes.CommandError
+        If the call is refused.
+    """
     headers = _headers(api_key)
     if key:
         headers["Idempotency-Key"] = key
@@ -78,40 +123,46 @@
     ) as response:
         value = await response.json()
         if "error" in value:
-            raise _refusal(value)
+            raise _refusal_error(value)
         return value, response.headers.get("Idempotent-Replayed") == "true"
 
 
 async def mint_ticket(session, entry, api_key):
-    """Return a new ticket."""
+    """Return a new ticket from an entry.
+
+    Raises
+    ------
+    outcomes.CommandError
+        If the entry refuses the request.
+    """
     async with session.post(
         f"{entry['url']}/v1/tickets", headers=_headers(api_key)
     ) as response:
         value = await response.json()
         if response.status != 201:
-            raise _refusal(value)
+            raise _refusal_error(value)
         return value["ticket"]
 
 
-def _take_line(sent, line, begun):
-    if not line.startswith(_DATA) or line == "data: [DONE]":
+def _add_line(sent, line, sent_at):
+    if not line.startswith(_DATA_PREFIX) or line == "data: [DONE]":
         return
-    value = json.loads(line[len(_DATA) :])
+    value = json.loads(line[len(_DATA_PREFIX) :])
     if "error" in value:
-        raise _refusal(value)
+        raise _refusal_error(value)
     sent.usage = value.get("usage") or sent.usage
     for choice in value["choices"]:
         text = choice["delta"].get("content")
         if text and not sent.first_token_seconds:
-            sent.first_token_seconds = time.monotonic() - begun
+            sent.first_token_seconds = time.monotonic() - sent_at
         sent.text += text or ""
 
 
-def _refusal(value):
+def _refusal_error(value):
     error = value["error"]
     message = f"{error['code']} ({error['outcome']}): {error['message']}"
     if error["retry_after"]:
-        message += f" Come back in {error['retry_after']} s."
+        message += f" Retry after {error['retry_after']} s."
     return outcomes.CommandError(message, outcomes.Exit.REFUSED)
 
 
