--- a/packages/decide/sesamespindle/decide/crashes.py
+++ b/packages/decide/sesamespindle/decide/crashes.py
@@ -1,36 +1,39 @@
-"""Which requests were under way as targets crashed."""
+"""Detection of target crashes, with the requests that were in flight at each."""
 
 import dataclasses
 import datetime
 
 from sesamespindle.decide import commands, gossip, lives
 
-# How long a run that broke off waits for word that its target's life is over: crashed
-# targets are back, and listed, after some seconds.
+# How long after a connection broke the end of the target's incarnation may still be
+# confirmed. A crashed target has restarted and is listed again after some seconds.
 _CONFIRMED_WITHIN = datetime.timedelta(seconds=6)
-# Connections that are tried to find out whether a target's life is over. The second
-# is for a target whose connections close before its port does.
+# Connection attempts that check whether a target's incarnation has ended. The second
+# is for a target that closes its connections before it closes its listening port.
 _MAX_PROBES = 2
-# A run that its caller left so shortly before the crash may have been the cause.
+# A request whose caller disconnected at most this long before the crash may have caused
+# it, so it counts as a suspect too.
 _LEFT_LATELY = datetime.timedelta(seconds=1)
-# Hosts that tell each other of a time know it no better than this.
+# Two hosts' timestamps of one event may differ by this much, as gossip carries them as
+# ages that each host converts by its own clock.
 _TOLERANCE = datetime.timedelta(seconds=1)
-# Crashes that are remembered, the latest, and for how long: what crashes targets may
-# come back after minutes.
+# The number of latest crashes that are remembered, and for how long. A request that
+# crashes targets may come again after minutes.
 MAX_CRASHES = 128
 _KEPT_FOR = datetime.timedelta(hours=1)
 _REPEATED = 2
-# News of a crash is told in so many rounds of gossip, as in `world.VERSION_ROUNDS`.
+# A crash is announced in this many gossip rounds; see `world.VERSION_ROUNDS`.
 _TOLD_ROUNDS = 10
-# What one message tells at most: crashes and cleared requests, and suspects in all, of
-# 18 bytes each. Hosts have 20 KB/s for control.
+# Limits of one gossip message: the number of crashes, the number of cleared requests,
+# and the suspects of all its crashes together, at 18 bytes each. A host may use 20 KB/s
+# for control traffic.
 _MAX_TOLD = 32
 _MAX_TOLD_SUSPECTS = 400
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProbeLife:
-    """Find out whether a life of a target still accepts connections."""
+    """Check whether an incarnation of a target still accepts connections."""
 
     life: lives.Life
     address: str
@@ -38,23 +41,30 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LifeRefuses:
-    """Nobody listens at the address of a life of a target."""
+    """The address of a target's incarnation refused a connection."""
 
     life: lives.Life
 
 
 @dataclasses.dataclass(slots=True)
 class Crash:
-    """A life of a target that ended with requests under way.
+    """An incarnation of a target that ended while requests were in flight.
 
     Attributes
     ----------
+    life : lives.Life
+        The incarnation.
+    service : str
+        The pool or service that the target belongs to.
+    at : datetime.datetime
+        When its first connection broke.
     suspects : set of str
-        The fingerprints of these requests, here and on the hosts that told of theirs.
+        The fingerprints of the requests in flight, those of this host and those that
+        other hosts announced.
     is_refuted : bool
-        Whether the life was seen to go on after all.
+        Whether the incarnation answered later, so that it had not ended.
     rounds : int
-        Rounds of gossip in which it is still told.
+        Gossip rounds in which the crash is still announced.
     """
 
     life: lives.Life
@@ -67,7 +77,13 @@
 
 @dataclasses.dataclass(slots=True)
 class _Served:
-    """The latest run of a suspect that ended well."""
+    """The latest successful run of a suspect.
+
+    Attributes
+    ----------
+    rounds : int
+        Gossip rounds in which it is still announced.
+    """
 
     at: datetime.datetime
     rounds: int = _TOLD_ROUNDS
@@ -75,7 +91,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Broken:
-    """Runs that broke off at a life that may be over."""
+    """Runs whose connections broke at an incarnation that may have ended."""
 
     service: str
     address: str
@@ -85,20 +101,21 @@
 
 
 class Crashes:
-    """Tells crashes from links that broke, and remembers what ran there.
+    """Distinguishes crashes from broken links, and records which requests ran there.
 
-    A crash is a connection that broke with a run under way, and the end of the life
-    that it led to: it accepts no connections any more, another life is at its address,
-    or the list has another in its place. What drains, is taken off the list, or broke
-    off while this host was paused, is none.
+    A crash takes two things: a connection broke while a request was in flight, and the
+    target's incarnation ended. It has ended when it refuses connections, when another
+    incarnation answers at its address, or when the target list has another in its
+    place. It is no crash if the target drains, was taken off the list, or if this host
+    was paused while the request was in flight.
 
     Parameters
     ----------
     state : world.World
         The shared tables.
     names_return : bool
-        Whether targets start again under their names and don't tell their births.
-        Their lives are then told apart by how many of them are known to be over.
+        Whether targets restart under the same name and don't report a start time.
+        Their incarnations are then numbered by how many are known to have ended.
     """
 
     def __init__(self, state, names_return=False):
@@ -107,15 +124,15 @@
         self._lives_over_by_name = {}
         self.crash_by_life = {}
         self._broken_by_life = {}
-        # When callers left runs, by life and fingerprint.
+        # When callers disconnected from runs, by incarnation and fingerprint.
         self._left_by_life = {}
         self._lives_by_fingerprint = {}
-        # Fingerprints with two lives or more.
+        # Fingerprints that are suspects of `_REPEATED` crashes or more.
         self._repeated = set()
         self._served_by_fingerprint = {}
 
     def take(self, event, now):
-        """Take in one of this module's events; return whether it was one."""
+        """Handle one of this module's events; return whether the event was one."""
         match event:
             case LifeRefuses():
                 self.is_over(event.life)
@@ -124,18 +141,33 @@
         return True
 
     def life_of(self, row):
-        """Return the `lives.Life` that a target is in."""
+        """Return the `lives.Life` of a target's current incarnation."""
         if not self._names_return:
             return row.life
         return lives.Life(row.name, self._lives_over_by_name.get(row.name, 0))
 
     def _row_in(self, life):
-        """Return the row of a target in a life of it, or None once that is over."""
+        """Return the row of a target's incarnation, or None if it isn't current."""
         row = self._state.targets.get(life.name)
         return row if row is not None and self.life_of(row) == life else None
 
     def broke(self, fingerprint, life, sent_at, now):
-        """Take in a run whose connection broke before its answer was whole."""
+        """Record a run whose connection broke before its answer was complete.
+
+        Guards against requests that are suspected although no target crashed under
+        them. After a pause of this host, its targets may have ended for reasons of
+        their own. A target that drains ends with its long runs cut off. Other targets
+        are taken off the list before they end. Such runs are not recorded.
+
+        Parameters
+        ----------
+        fingerprint : str
+            Of the request; empty if it isn't known, then nothing is recorded.
+        life : lives.Life
+            The incarnation that the run was sent to.
+        sent_at, now : datetime.datetime
+            When the run was sent, and the current time.
+        """
         if not fingerprint or self._state.pauses.paused_since(sent_at):
             return
         known = self.crash_by_life.get(life)
@@ -153,32 +185,43 @@
         broken.fingerprints.add(fingerprint)
 
     def left(self, fingerprint, life, now):
-        """Take in a run that its caller left, or that was given up here."""
+        """Record a run that was abandoned by its caller or by this host."""
         if fingerprint:
             self._left_by_life.setdefault(life, {})[fingerprint] = now
 
     def served(self, fingerprint, now):
-        """Take in that a run has ended well: what crashed before was not its doing."""
+        """Record a successful run: the request did not cause the crashes before it."""
         if fingerprint in self._lives_by_fingerprint:
             self.clear(fingerprint, now)
 
     def clear(self, fingerprint, at):
-        """Have crashes up to a time count no longer for a request.
+        """Stop counting crashes up to a time against a request.
 
-        Guards against hosts that tell each other of one clearing for ever, each a
-        few milliseconds later than the one before: the same time is no news.
+        Guards against hosts that announce one clearing to each other without end. Each
+        host converts the announced age to a time a few milliseconds later than the one
+        before, so the clearing looks new each time. A time within the tolerance of the
+        known one is taken for the same clearing and is not announced again.
         """
         if at - _TOLERANCE > self.cleared_at(fingerprint, at - _KEPT_FOR):
             self._served_by_fingerprint[fingerprint] = _Served(at)
             self._state.tells_crashes = True
 
     def cleared_at(self, fingerprint, otherwise):
-        """Return when a request was last known to do no harm, or another time."""
+        """Return when a request last ran successfully or was cleared.
+
+        Parameters
+        ----------
+        otherwise : datetime.datetime or None
+            Returned if the request was never cleared.
+        """
         served = self._served_by_fingerprint.get(fingerprint)
         return served.at if served is not None else otherwise
 
     def against(self, fingerprint):
-        """Return the crashes that count against a request, in no order."""
+        """Return the crashes that count against a request, in no particular order.
+
+        Refuted crashes and those before its last successful run don't count.
+        """
         crashes = [
             self.crash_by_life[life]
             for life in self._lives_by_fingerprint.get(fingerprint, ())
@@ -191,20 +234,31 @@
         return crash.at > self.cleared_at(fingerprint, crash.at - _KEPT_FOR)
 
     def repeated(self):
-        """Return the fingerprints that were under way in two crashes or more."""
+        """Return the fingerprints that were in flight in two crashes or more."""
         return self._repeated
 
     def crash_of(self, life):
-        """Return the `Crash` by which a life is known to be over, or None."""
+        """Return the unrefuted `Crash` that ended an incarnation, or None."""
         crash = self.crash_by_life.get(life)
         return crash if crash is not None and not crash.is_refuted else None
 
     def has_crashed(self, life):
-        """Return whether a life of a target is known to be over."""
+        """Return whether an incarnation of a target is known to have crashed."""
         return self.crash_of(life) is not None
 
     def answered(self, life, sent_at):
-        """Take in that a life answered what was sent to it at a time."""
+        """Record that an incarnation answered a request.
+
+        Guards against a broken link that is taken for a crash, so that the link's
+        requests become suspects. The incarnation is alive if it answers what was sent
+        after the link broke. An answer to something sent before the break proves
+        nothing, as it may have been waiting here when the target crashed.
+
+        Parameters
+        ----------
+        sent_at : datetime.datetime
+            When the answered request was sent.
+        """
         broken = self._broken_by_life.get(life)
         if broken is not None and sent_at > broken.at:
             del self._broken_by_life[life]
@@ -215,7 +269,7 @@
             self._refute(crash)
 
     def is_over(self, life):
-        """Take in that a life of a target is over."""
+        """Record that an incarnation has ended: a crash if runs broke off there."""
         broken = self._broken_by_life.pop(life, None)
         if broken is None:
             return
@@ -228,14 +282,22 @@
         self._record(Crash(life, broken.service, broken.at, suspects))
 
     def unsure(self, fingerprint):
-        """Return at how many lives it broke off that may or may not be over."""
+        """Return the number of possible crashes of a request.
+
+        These are incarnations at which its run broke off and whose end is not yet
+        confirmed.
+        """
         return sum(
             fingerprint in broken.fingerprints
             for broken in self._broken_by_life.values()
         )
 
     def tick(self, now):
-        """Look what the list says of lives, ask once more, and forget what is old."""
+        """Confirm or dismiss possible crashes, and drop outdated records.
+
+        A possible crash is confirmed by the target list. It is dismissed if the target
+        drains or the time for confirmation is over, and probed again otherwise.
+        """
         self._forget_old(now)
         for life, broken in list(self._broken_by_life.items()):
             row = self._row_in(life)
@@ -257,7 +319,11 @@
             self._state.emit(ProbeLife(life, broken.address))
 
     def _forget_old(self, now):
-        """Drop crashes from the first that was recorded on, while they are old."""
+        """Drop outdated crashes and clearings.
+
+        Crashes are checked in the order in which they were recorded, up to the first
+        that is recent enough to keep.
+        """
         while self.crash_by_life:
             oldest = next(iter(self.crash_by_life.values()))
             if now - oldest.at < _KEPT_FOR:
@@ -314,15 +380,21 @@
         self._tell(crash)
         self._state.emit(commands.Note("crash_refuted", crash.life.name))
 
-    # What is told to peers and heard from them.
+    # Gossip with peers.
 
     def told(self, whole):
-        """Return the `gossip.TargetCrash` and `gossip.ClearedRequest` records to tell.
+        """Return the records to send to a peer.
 
         Parameters
         ----------
         whole : bool
-            Whether the peer has just started, and is told all that is known.
+            Whether to send all that is known, as to a peer that has just started, and
+            not only what is still announced.
+
+        Returns
+        -------
+        crashes : tuple of gossip.TargetCrash
+        cleared : tuple of gossip.ClearedRequest
         """
         crashes = [
             crash for crash in self.crash_by_life.values() if whole or crash.rounds
@@ -336,9 +408,9 @@
         return told, tuple(cleared[-_MAX_TOLD:])
 
     def _tell_crashes(self, crashes):
-        """Yield the records of crashes, latest first, while there is room.
+        """Yield the records of crashes, latest first, until the message is full.
 
-        Suspects of several crashes go first: the cause is one of them.
+        Suspects of several crashes come first, as the cause is one of them.
         """
         room = _MAX_TOLD_SUSPECTS
         for crash in reversed(crashes):
@@ -351,7 +423,7 @@
                 )
 
     def note_round(self):
-        """Count a round of gossip in which what is news was told."""
+        """Count a gossip round in which the recent records were announced."""
         for item in (
             *self.crash_by_life.values(),
             *self._served_by_fingerprint.values(),
@@ -359,7 +431,7 @@
             item.rounds = max(0, item.rounds - 1)
 
     def hear(self, crashes, cleared):
-        """Take in what a peer tells; hearing it twice changes nothing."""
+        """Merge records received from a peer; this is idempotent."""
         for told in cleared:
             self.clear(told.fingerprint, told.at)
         for told in crashes:
