--- a/packages/decide/sesamespindle/decide/crashes.py
+++ b/packages/decide/sesamespindle/decide/crashes.py
@@ -7,28 +7,28 @@
 
 # How long after a connection broke the end of the target's incarnation may still be
 # confirmed. A crashed target has restarted and is listed again after some seconds.
-_CONFIRMED_WITHIN = datetime.timedelta(seconds=6)
+_CONFIRMATION_TIMEOUT = datetime.timedelta(seconds=6)
 # Connection attempts that check whether a target's incarnation has ended. The second
 # is for a target that closes its connections before it closes its listening port.
 _MAX_PROBES = 2
 # A request whose caller disconnected at most this long before the crash may have caused
 # it, so it counts as a suspect too.
-_LEFT_LATELY = datetime.timedelta(seconds=1)
+_ABANDONED_SHORTLY_BEFORE = datetime.timedelta(seconds=1)
 # Two hosts' timestamps of one event may differ by this much, as gossip carries them as
 # ages that each host converts by its own clock.
-_TOLERANCE = datetime.timedelta(seconds=1)
+_CLOCK_TOLERANCE = datetime.timedelta(seconds=1)
 # The number of latest crashes that are remembered, and for how long. A request that
 # crashes targets may come again after minutes.
 MAX_CRASHES = 128
-_KEPT_FOR = datetime.timedelta(hours=1)
-_REPEATED = 2
+_RETENTION = datetime.timedelta(hours=1)
+_REPEATED_FROM = 2
 # A crash is announced in this many gossip rounds; see `world.VERSION_ROUNDS`.
-_TOLD_ROUNDS = 10
+_ANNOUNCED_ROUNDS = 10
 # Limits of one gossip message: the number of crashes, the number of cleared requests,
 # and the suspects of all its crashes together, at 18 bytes each. A host may use 20 KB/s
 # for control traffic.
-_MAX_TOLD = 32
-_MAX_TOLD_SUSPECTS = 400
+_MAX_ANNOUNCED = 32
+_MAX_ANNOUNCED_SUSPECTS = 400
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -72,11 +72,11 @@
     at: datetime.datetime
     suspects: set[str]
     is_refuted: bool = False
-    rounds: int = _TOLD_ROUNDS
+    rounds: int = _ANNOUNCED_ROUNDS
 
 
 @dataclasses.dataclass(slots=True)
-class _Served:
+class _SuccessfulRun:
     """The latest successful run of a suspect.
 
     Attributes
@@ -86,11 +86,11 @@
     """
 
     at: datetime.datetime
-    rounds: int = _TOLD_ROUNDS
+    rounds: int = _ANNOUNCED_ROUNDS
 
 
 @dataclasses.dataclass(slots=True)
-class _Broken:
+class _BrokenRuns:
     """Runs whose connections broke at an incarnation that may have ended."""
 
     service: str
@@ -121,15 +121,17 @@
     def __init__(self, state, names_return=False):
         self._state = state
         self._names_return = names_return
-        self._lives_over_by_name = {}
+        # How many incarnations of a target are known to have ended, by target name.
+        # Used with `names_return` alone.
+        self._ended_count_by_name = {}
         self.crash_by_life = {}
-        self._broken_by_life = {}
+        self._broken_runs_by_life = {}
         # When callers disconnected from runs, by incarnation and fingerprint.
-        self._left_by_life = {}
+        self._abandoned_at_by_life = {}
         self._lives_by_fingerprint = {}
-        # Fingerprints that are suspects of `_REPEATED` crashes or more.
+        # Fingerprints that are suspects of `_REPEATED_FROM` crashes or more.
         self._repeated = set()
-        self._served_by_fingerprint = {}
+        self._successful_run_by_fingerprint = {}
 
     def take(self, event, now):
         """Handle one of this module's events; return whether the event was one."""
@@ -144,9 +146,9 @@
         """Return the `lives.Life` of a target's current incarnation."""
         if not self._names_return:
             return row.life
-        return lives.Life(row.name, self._lives_over_by_name.get(row.name, 0))
+        return lives.Life(row.name, self._ended_count_by_name.get(row.name, 0))
 
-    def _row_in(self, life):
+    def _current_row(self, life):
         """Return the row of a target's incarnation, or None if it isn't current."""
         row = self._state.targets.get(life.name)
         return row if row is not None and self.life_of(row) == life else None
@@ -172,22 +174,22 @@
             return
         known = self.crash_by_life.get(life)
         if known is not None:
-            self._suspect(known, {fingerprint})
+            self._add_suspects(known, {fingerprint})
             return
-        row = self._row_in(life)
+        row = self._current_row(life)
         if row is None or row.leaving or row.missing_since is not None:
             return
-        broken = self._broken_by_life.get(life)
+        broken = self._broken_runs_by_life.get(life)
         if broken is None:
-            broken = _Broken(row.pool, row.url, now)
-            self._broken_by_life[life] = broken
+            broken = _BrokenRuns(row.pool, row.url, now)
+            self._broken_runs_by_life[life] = broken
             self._probe(life, broken)
         broken.fingerprints.add(fingerprint)
 
     def left(self, fingerprint, life, now):
         """Record a run that was abandoned by its caller or by this host."""
         if fingerprint:
-            self._left_by_life.setdefault(life, {})[fingerprint] = now
+            self._abandoned_at_by_life.setdefault(life, {})[fingerprint] = now
 
     def served(self, fingerprint, now):
         """Record a successful run: the request did not cause the crashes before it."""
@@ -202,22 +204,22 @@
         before, so the clearing looks new each time. A time within the tolerance of the
         known one is taken for the same clearing and is not announced again.
         """
-        if at - _TOLERANCE > self.cleared_at(fingerprint, at - _KEPT_FOR):
-            self._served_by_fingerprint[fingerprint] = _Served(at)
+        if at - _CLOCK_TOLERANCE > self.cleared_at(fingerprint, at - _RETENTION):
+            self._successful_run_by_fingerprint[fingerprint] = _SuccessfulRun(at)
             self._state.tells_crashes = True
 
-    def cleared_at(self, fingerprint, otherwise):
+    def cleared_at(self, fingerprint, default):
         """Return when a request last ran successfully or was cleared.
 
         Parameters
         ----------
-        otherwise : datetime.datetime or None
+        default : datetime.datetime or None
             Returned if the request was never cleared.
         """
-        served = self._served_by_fingerprint.get(fingerprint)
-        return served.at if served is not None else otherwise
+        served = self._successful_run_by_fingerprint.get(fingerprint)
+        return served.at if served is not None else default
 
-    def against(self, fingerprint):
+    def crashes_against(self, fingerprint):
         """Return the crashes that count against a request, in no particular order.
 
         Refuted crashes and those before its last successful run don't count.
@@ -231,9 +233,9 @@
     def _counts(self, fingerprint, crash):
         if crash.is_refuted:
             return False
-        return crash.at > self.cleared_at(fingerprint, crash.at - _KEPT_FOR)
+        return crash.at > self.cleared_at(fingerprint, crash.at - _RETENTION)
 
-    def repeated(self):
+    def repeated_suspects(self):
         """Return the fingerprints that were in flight in two crashes or more."""
         return self._repeated
 
@@ -259,29 +261,29 @@
         sent_at : datetime.datetime
             When the answered request was sent.
         """
-        broken = self._broken_by_life.get(life)
+        broken = self._broken_runs_by_life.get(life)
         if broken is not None and sent_at > broken.at:
-            del self._broken_by_life[life]
+            del self._broken_runs_by_life[life]
         crash = self.crash_by_life.get(life)
         if crash is None or crash.is_refuted:
             return
-        if sent_at > crash.at + _TOLERANCE:
+        if sent_at > crash.at + _CLOCK_TOLERANCE:
             self._refute(crash)
 
     def is_over(self, life):
         """Record that an incarnation has ended: a crash if runs broke off there."""
-        broken = self._broken_by_life.pop(life, None)
+        broken = self._broken_runs_by_life.pop(life, None)
         if broken is None:
             return
-        left = self._left_by_life.pop(life, {})
+        abandoned_at = self._abandoned_at_by_life.pop(life, {})
         suspects = broken.fingerprints | {
             fingerprint
-            for fingerprint, at in left.items()
-            if broken.at - at <= _LEFT_LATELY
+            for fingerprint, at in abandoned_at.items()
+            if broken.at - at <= _ABANDONED_SHORTLY_BEFORE
         }
         self._record(Crash(life, broken.service, broken.at, suspects))
 
-    def unsure(self, fingerprint):
+    def possible_crashes(self, fingerprint):
         """Return the number of possible crashes of a request.
 
         These are incarnations at which its run broke off and whose end is not yet
@@ -289,7 +291,7 @@
         """
         return sum(
             fingerprint in broken.fingerprints
-            for broken in self._broken_by_life.values()
+            for broken in self._broken_runs_by_life.values()
         )
 
     def tick(self, now):
@@ -299,18 +301,18 @@
         drains or the time for confirmation is over, and probed again otherwise.
         """
         self._forget_old(now)
-        for life, broken in list(self._broken_by_life.items()):
-            row = self._row_in(life)
+        for life, broken in list(self._broken_runs_by_life.items()):
+            row = self._current_row(life)
             if row is None or row.superseded_by:
                 self.is_over(life)
-            elif row.leaving or now - broken.at > _CONFIRMED_WITHIN:
-                del self._broken_by_life[life]
+            elif row.leaving or now - broken.at > _CONFIRMATION_TIMEOUT:
+                del self._broken_runs_by_life[life]
             else:
                 self._probe(life, broken)
-        self._left_by_life = {
+        self._abandoned_at_by_life = {
             life: at_by_fingerprint
-            for life, at_by_fingerprint in self._left_by_life.items()
-            if now - max(at_by_fingerprint.values()) <= _LEFT_LATELY
+            for life, at_by_fingerprint in self._abandoned_at_by_life.items()
+            if now - max(at_by_fingerprint.values()) <= _ABANDONED_SHORTLY_BEFORE
         }
 
     def _probe(self, life, broken):
@@ -326,58 +328,58 @@
         """
         while self.crash_by_life:
             oldest = next(iter(self.crash_by_life.values()))
-            if now - oldest.at < _KEPT_FOR:
+            if now - oldest.at < _RETENTION:
                 break
             self._forget(oldest)
-        for fingerprint, served in list(self._served_by_fingerprint.items()):
-            if now - served.at >= _KEPT_FOR:
-                del self._served_by_fingerprint[fingerprint]
+        for fingerprint, served in list(self._successful_run_by_fingerprint.items()):
+            if now - served.at >= _RETENTION:
+                del self._successful_run_by_fingerprint[fingerprint]
 
     def _forget(self, crash):
         del self.crash_by_life[crash.life]
         name = crash.life.name
         if all(life.name != name for life in self.crash_by_life):
-            self._lives_over_by_name.pop(name, None)
+            self._ended_count_by_name.pop(name, None)
         for fingerprint in crash.suspects:
-            found = self._lives_by_fingerprint[fingerprint]
-            found.discard(crash.life)
-            if len(found) < _REPEATED:
+            crashed_lives = self._lives_by_fingerprint[fingerprint]
+            crashed_lives.discard(crash.life)
+            if len(crashed_lives) < _REPEATED_FROM:
                 self._repeated.discard(fingerprint)
-            if not found:
+            if not crashed_lives:
                 del self._lives_by_fingerprint[fingerprint]
 
     def _record(self, crash):
         self.crash_by_life[crash.life] = crash
-        name, over = crash.life.name, crash.life.born + 1
-        self._lives_over_by_name[name] = max(
-            over, self._lives_over_by_name.get(name, 0)
+        name, ended_count = crash.life.name, crash.life.born + 1
+        self._ended_count_by_name[name] = max(
+            ended_count, self._ended_count_by_name.get(name, 0)
         )
-        self._index(crash, crash.suspects)
+        self._index_suspects(crash, crash.suspects)
         while len(self.crash_by_life) > MAX_CRASHES:
             self._forget(next(iter(self.crash_by_life.values())))
 
-    def _suspect(self, crash, fingerprints):
+    def _add_suspects(self, crash, fingerprints):
         added = fingerprints - crash.suspects
         if added:
             crash.suspects |= added
-            self._index(crash, added)
+            self._index_suspects(crash, added)
 
-    def _index(self, crash, fingerprints):
+    def _index_suspects(self, crash, fingerprints):
         for fingerprint in fingerprints:
-            lives_here = self._lives_by_fingerprint.setdefault(fingerprint, set())
-            lives_here.add(crash.life)
-            if len(lives_here) >= _REPEATED:
+            crashed_lives = self._lives_by_fingerprint.setdefault(fingerprint, set())
+            crashed_lives.add(crash.life)
+            if len(crashed_lives) >= _REPEATED_FROM:
                 self._repeated.add(fingerprint)
-        self._tell(crash)
-        self._note(crash, fingerprints)
+        self._announce(crash)
+        self._note_crash(crash, fingerprints)
 
-    def _tell(self, crash):
-        crash.rounds = _TOLD_ROUNDS
+    def _announce(self, crash):
+        crash.rounds = _ANNOUNCED_ROUNDS
         self._state.tells_crashes = True
 
     def _refute(self, crash):
         crash.is_refuted = True
-        self._tell(crash)
+        self._announce(crash)
         self._state.emit(commands.Note("crash_refuted", crash.life.name))
 
     # Gossip with peers.
@@ -401,54 +403,62 @@
         ]
         cleared = [
             gossip.ClearedRequest(fingerprint, served.at)
-            for fingerprint, served in self._served_by_fingerprint.items()
+            for fingerprint, served in self._successful_run_by_fingerprint.items()
             if whole or served.rounds
         ]
-        told = tuple(self._tell_crashes(crashes[-_MAX_TOLD:]))
-        return told, tuple(cleared[-_MAX_TOLD:])
+        records = tuple(self._crash_records(crashes[-_MAX_ANNOUNCED:]))
+        return records, tuple(cleared[-_MAX_ANNOUNCED:])
 
-    def _tell_crashes(self, crashes):
+    def _crash_records(self, crashes):
         """Yield the records of crashes, latest first, until the message is full.
 
         Suspects of several crashes come first, as the cause is one of them.
         """
-        room = _MAX_TOLD_SUSPECTS
+        free = _MAX_ANNOUNCED_SUSPECTS
         for crash in reversed(crashes):
-            names = sorted(crash.suspects, key=lambda name: name not in self._repeated)
-            names = names[:room]
-            room -= len(names)
-            if names:
+            suspects = sorted(
+                crash.suspects, key=lambda item: item not in self._repeated
+            )
+            suspects = suspects[:free]
+            free -= len(suspects)
+            if suspects:
                 yield gossip.TargetCrash(
-                    crash.life, crash.service, crash.at, tuple(names), crash.is_refuted
+                    crash.life,
+                    crash.service,
+                    crash.at,
+                    tuple(suspects),
+                    crash.is_refuted,
                 )
 
     def note_round(self):
         """Count a gossip round in which the recent records were announced."""
         for item in (
             *self.crash_by_life.values(),
-            *self._served_by_fingerprint.values(),
+            *self._successful_run_by_fingerprint.values(),
         ):
             item.rounds = max(0, item.rounds - 1)
 
     def hear(self, crashes, cleared):
         """Merge records received from a peer; this is idempotent."""
-        for told in cleared:
-            self.clear(told.fingerprint, told.at)
-        for told in crashes:
-            self._hear_crash(told)
-
-    def _hear_crash(self, told):
-        self.is_over(told.life)
-        known = self.crash_by_life.get(told.life)
+        for record in cleared:
+            self.clear(record.fingerprint, record.at)
+        for record in crashes:
+            self._merge_crash(record)
+
+    def _merge_crash(self, received):
+        self.is_over(received.life)
+        known = self.crash_by_life.get(received.life)
         if known is None:
-            known = Crash(told.life, told.service, told.at, set(told.suspects))
+            known = Crash(
+                received.life, received.service, received.at, set(received.suspects)
+            )
             self._record(known)
         else:
-            self._suspect(known, set(told.suspects))
-        if told.is_refuted and not known.is_refuted:
+            self._add_suspects(known, set(received.suspects))
+        if received.is_refuted and not known.is_refuted:
             self._refute(known)
 
-    def _note(self, crash, fingerprints):
+    def _note_crash(self, crash, fingerprints):
         names = ", ".join(sorted(fingerprints))
         self._state.emit(
             commands.Note(
--- a/packages/decide/sesamespindle/decide/quarantine.py
+++ b/packages/decide/sesamespindle/decide/quarantine.py
@@ -212,7 +212,7 @@
             return 0
         if fingerprint in self.record_by_fingerprint:
             return _QUARANTINED_FROM
-        unsure = self._crashes.unsure(fingerprint)
+        unsure = self._crashes.possible_crashes(fingerprint)
         return len(self._against(fingerprint)) + unsure
 
     def narrow(self, fingerprint, rows, now):
@@ -237,7 +237,7 @@
     def _taken_by_others(self, fingerprint, names, now):
         """Return the targets of suspects that choose before this one."""
         taken = set()
-        for other in sorted(self._crashes.repeated()):
+        for other in sorted(self._crashes.repeated_suspects()):
             if other >= fingerprint or taken == names:
                 break
             if self._keeps_target(other, now) and self._stays_apart(other):
@@ -270,7 +270,7 @@
         """
         return [
             crash
-            for crash in self._crashes.against(fingerprint)
+            for crash in self._crashes.crashes_against(fingerprint)
             if not self._is_explained(crash)
         ]
 
@@ -284,7 +284,7 @@
         """Quarantine who crashed most targets first: that clears who was beside it."""
         found = [
             (fingerprint, self._against(fingerprint))
-            for fingerprint in self._crashes.repeated()
+            for fingerprint in self._crashes.repeated_suspects()
             if fingerprint not in self.record_by_fingerprint
         ]
         found.sort(key=lambda item: (-len(item[1]), item[0]))
--- a/tests/decide/test_calls.py
+++ b/tests/decide/test_calls.py
@@ -128,7 +128,7 @@
             sent.request_id, sent.attempt, events.Ending.LINK_LOST
         )
         made.step(now, [ended])
-        life = next(iter(made.crashes._broken_by_life))
+        life = next(iter(made.crashes._broken_runs_by_life))
         assert life.born == number
         made.step(now, [crashes.LifeRefuses(life)])
         made.state.targets.get("hall-1").shunned_until = None
--- a/tests/decide/test_crashes.py
+++ b/tests/decide/test_crashes.py
@@ -123,11 +123,11 @@
     found = [core.step(moment, [events.Tick()]) for moment in moments]
     probes = [item for step in found for item in step if _is_probe(item)]
     assert len(probes) == 2
-    assert core.crashes.unsure("aa") == 1
+    assert core.crashes.possible_crashes("aa") == 1
     core.step(NOW + 0.9 * SECOND, [events.Tick()])
     for number in range(1, 8):
         core.step(NOW + number * 0.95 * SECOND, [events.Tick()])
-    assert core.crashes.unsure("aa") == 0
+    assert core.crashes.possible_crashes("aa") == 0
 
 
 def _is_probe(command):
