--- a/packages/decide/sesamespindle/decide/quarantine.py
+++ b/packages/decide/sesamespindle/decide/quarantine.py
@@ -1,9 +1,11 @@
-"""What follows for requests under which targets crash.
-
-A request is known by its fingerprint, whatever its attempts' ids and hosts are. After
-the first crash it may be tried again, at one target that all hosts choose alike; after
-the second only in a new attempt, and away from other suspects; after the third it is
-refused, once hosts have had time to hear what others saw.
+"""Quarantine of requests that crash the targets that run them.
+
+A request is identified by its fingerprint, which stays the same when callers send it
+again with another id or to another host. After the first crash the host may retry it,
+at one target that all hosts choose alike. After the second crash no host retries it by
+itself; if the caller sends it again, it gets a target apart from those of other
+suspects. After the third crash it is refused, once the hosts have had time to receive
+what others saw of the crashes.
 """
 
 import dataclasses
@@ -11,49 +13,55 @@
 
 from sesamespindle.decide import commands, gossip, hashing, retries
 
-# Crashes under one request after which it is refused.
+# The number of crashes under one request from which it is refused.
 _QUARANTINED_FROM = 3
-# From so many crashes on it is refused although others ran beside it each time, or its
-# targets crashed together with others. Three retries after the third are allowed in
-# all, tries among them, and one is left for news that comes late.
+# The number of crashes from which a request is refused in any case, even if other
+# suspects ran beside it each time or its targets crashed together with others. At most
+# three runs after the third crash are allowed in all. They include the trial runs of
+# `_TRIED_AFTER`, and one is left for a host that learns of the crashes late.
 _QUARANTINED_ANYHOW_FROM = 5
-# Uncorrelated crashes that are needed: one may be chance.
+# The number of uncorrelated crashes that a quarantine needs, as one may be chance.
 _UNCORRELATED = 2
-# Uncorrelated crashes after which a suspect gets no target that another such
-# suspect has.
+# The number of uncorrelated crashes from which a suspect gets a target of its own that
+# no other such suspect uses.
 _APART_FROM = 2
-# Crashes of one service so close together are correlated.
+# Crashes of one service at most this far apart are correlated.
 _CORRELATED_WITHIN = datetime.timedelta(seconds=0.5)
-# Crashes so close together are one event: a request that is tried again takes longer to
-# crash the next target.
+# Crashes at most this far apart are one event. One request can't cause them one after
+# the other, as a retry takes longer than this to crash the next target.
 _AT_ONCE = datetime.timedelta(seconds=0.03)
-# What other hosts saw of a crash is here after this long: three rounds of urgent news,
-# and what a busy host adds.
+# After this long the host has received what others saw of a crash. This covers three
+# rounds of urgent gossip and the delay of a busy host.
 _SETTLED_AFTER = datetime.timedelta(seconds=0.5)
-# A suspect keeps a target to itself for this long after its last crash, which is when
-# its caller tries again.
+# For this long after its last crash a suspect keeps its target to itself. Its caller
+# tries again within this time.
 _KEEPS_TARGET_FOR = datetime.timedelta(seconds=2)
-# When callers of a quarantined request come back. Nothing will have changed sooner.
+# The retry delay that callers of a quarantined request are given. The decision is not
+# expected to change sooner.
 _COME_BACK_AFTER = datetime.timedelta(minutes=1)
-# Each host writes what isn't on the platform yet this much later than the one before
-# it in rank: several calls of the platform fit in.
+# Each host waits this much longer than the host ranked before it until it writes a
+# record that the platform lacks. Several platform calls fit into this time.
 _WRITE_TURN = datetime.timedelta(seconds=1)
-# A quarantined request is let through once after the first time, and once more after
-# the second.
+# How long after the quarantine the first and the second trial run of a request are
+# allowed.
 _TRIED_AFTER = (datetime.timedelta(minutes=10), datetime.timedelta(hours=2))
-# Quarantined requests that are remembered, and that are told in one message.
+# The number of quarantined requests that are remembered, and that one gossip message
+# announces.
 _MAX_RECORDS = 1024
 _MAX_TOLD = 32
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WriteQuarantine:
-    """Write a record to the platform; `QuarantineWritten` or `..Unwritten` follows.
+    """Write a record to the platform.
+
+    `QuarantineWritten` or `QuarantineUnwritten` follows, or `QuarantineRead` if the
+    platform has another revision of the record.
 
     Attributes
     ----------
     is_try : bool
-        Whether the request may be let through here once it is written.
+        Whether this host may run the request once as a trial after the write.
     """
 
     record: gossip.QuarantinedRequest
@@ -69,7 +77,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QuarantineWritten:
-    """The platform has a record, as its revision says."""
+    """The platform has stored a record, under the revision that the record bears."""
 
     record: gossip.QuarantinedRequest
     is_try: bool = False
@@ -77,14 +85,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QuarantineUnwritten:
-    """It isn't known whether the platform has a record."""
+    """A write failed or its result is unknown; the platform may lack the record."""
 
     fingerprint: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QuarantineRead:
-    """The platform or a peer shows a record that the platform has."""
+    """A record that the platform has was read, from the platform or from a peer."""
 
     record: gossip.QuarantinedRequest
 
@@ -98,7 +106,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QuarantinesListed:
-    """All records that the platform has at a revision."""
+    """All records that the platform has as of a revision."""
 
     records: tuple[gossip.QuarantinedRequest, ...]
     revision: int
@@ -111,7 +119,7 @@
     Attributes
     ----------
     retry_after : datetime.timedelta
-        Spread already.
+        When the caller may try again; random jitter is included.
     """
 
     code: commands.Code
@@ -120,19 +128,22 @@
 
 
 class Quarantine:
-    """Decides which requests are refused, and where suspects may be tried.
+    """Decides which requests are refused, and at which targets suspects may run.
 
-    Guards against one request that takes all targets of a service, one after the
-    other: it comes again under new ids, at any host, and each attempt is sent on.
+    Guards against one request that crashes all targets of a service, one after the
+    other. Its caller sends it again with a new id, to any host, and each attempt
+    crashes another target. All hosts exchange the crashes by fingerprint, and refuse
+    the request after the third one.
 
     Parameters
     ----------
     state : world.World
         The shared tables.
     crashes : crashes.Crashes
-        What is known against whom.
+        The crashes, with the requests suspected of them.
     is_written : bool
-        Whether the platform keeps what is decided; else the hosts' memories do.
+        Whether records are stored on the platform. Otherwise the hosts alone keep
+        them, in memory.
     """
 
     def __init__(self, state, crashes, is_written=True):
@@ -140,15 +151,15 @@
         self._is_written = is_written
         self._crashes = crashes
         self.record_by_fingerprint = {}
-        # When records came to be known here that the platform may not have.
+        # When this host learned of records that the platform may lack, by fingerprint.
         self._unwritten_since = {}
-        # Until when no write of a record is begun.
+        # When the next write of a record may start, by fingerprint.
         self._write_after = {}
-        # Requests that are let through here once.
+        # Fingerprints of requests that this host lets through once, as a trial run.
         self._let_through = set()
 
     def take(self, event, now):
-        """Take in one of this module's events; return whether it was one."""
+        """Handle one of this module's events; return whether the event was one."""
         match event:
             case QuarantineRead():
                 self._adopt(event.record, now, "read")
@@ -167,7 +178,7 @@
         return True
 
     def tick(self, now):
-        """Find causes, have the platform remember, and begin tries that are due."""
+        """Quarantine causes of crashes, write records, and start trial runs."""
         self._quarantine_causes(now)
         if not self._is_written:
             return
@@ -177,19 +188,20 @@
             else:
                 self._write(record, now)
 
-    # What requests are told.
+    # Decisions on requests.
 
     def refusal(self, fingerprint, now):
-        """Return the `Refusal` of a request, or None where it may be sent."""
+        """Return the `Refusal` of a request, or None if it may be sent."""
         crashes = self._against(fingerprint)
         if len(crashes) >= _QUARANTINED_FROM:
             if not self._have_settled(crashes, now):
                 return self._refuse(
                     commands.Code.SUSPECTED,
-                    f"Targets crashed under this request, {len(crashes)} just now.",
+                    f"Targets crashed under this request, {len(crashes)} so far; "
+                    "reports of other hosts are awaited.",
                     _SETTLED_AFTER,
                 )
-            # The next tick would be too late for this request.
+            # Decide now: this request would be sent before the next tick.
             self._quarantine_causes(now)
         record = self.record_by_fingerprint.get(fingerprint)
         if record is None:
@@ -207,7 +219,10 @@
         return Refusal(code, message, retries.spread(base, self._state.random))
 
     def suspicion(self, fingerprint):
-        """Return how many targets may have crashed under a request."""
+        """Return the number of targets that may have crashed because of a request.
+
+        It includes possible crashes that are not yet confirmed.
+        """
         if not fingerprint:
             return 0
         if fingerprint in self.record_by_fingerprint:
@@ -216,12 +231,28 @@
         return len(self._against(fingerprint)) + unsure
 
     def narrow(self, fingerprint, rows, now):
-        """Return the one of some targets at which a suspect may be tried, or all.
-
-        All hosts choose the same one, so that copies of a request which arrive
-        everywhere at once crash one target and not each another. Those that were
-        there twice stay apart: the next crash then tells which of them it was. Where
-        there are more of them than targets, some get none and come again.
+        """Return the target at which a suspect may run, or all for other requests.
+
+        Guards against copies of one request that arrive at many hosts at once and
+        crash a target each: all hosts choose the same target for a suspect, by
+        rendezvous hashing. It also guards against suspects that share a target, so that
+        a crash doesn't show which of them caused it: suspects of two crashes get
+        different targets. If there are more of them than targets, some get none and
+        have to come again.
+
+        Parameters
+        ----------
+        fingerprint : str
+            Of the request; may be empty.
+        rows : list of world.TargetRow
+            The targets that may run the request.
+        now : datetime.datetime
+            The current time.
+
+        Returns
+        -------
+        rows : list of world.TargetRow
+            All of `rows` for a request that isn't suspected, else one or none.
         """
         if not rows or not self.suspicion(fingerprint):
             return rows
@@ -235,7 +266,10 @@
         return [row_by_name[chosen]] if chosen is not None else []
 
     def _taken_by_others(self, fingerprint, names, now):
-        """Return the targets of suspects that choose before this one."""
+        """Return the targets taken by suspects that choose before this one.
+
+        Suspects choose in the order of their fingerprints, on all hosts alike.
+        """
         taken = set()
         for other in sorted(self._crashes.repeated_suspects()):
             if other >= fingerprint or taken == names:
@@ -255,18 +289,19 @@
         return len(self._uncorrelated(fingerprint, crashes)) >= _APART_FROM
 
     def served(self, fingerprint, now):
-        """Take in that a run has ended well."""
+        """Record a successful run; it ends a quarantine of the request."""
         self._crashes.served(fingerprint, now)
         if fingerprint in self.record_by_fingerprint:
             self._lift(fingerprint, now)
             self._state.emit(RemoveQuarantine(fingerprint))
 
-    # Who is the cause.
+    # Finding the causes of crashes.
 
     def _against(self, fingerprint):
         """Return the crashes that a request may have caused.
 
-        A crash that a quarantined request explains counts for nobody else.
+        A crash with a quarantined request among its suspects is attributed to that one
+        and counts against no other request.
         """
         return [
             crash
@@ -281,7 +316,11 @@
         return now - max(crash.at for crash in crashes) >= _SETTLED_AFTER
 
     def _quarantine_causes(self, now):
-        """Quarantine who crashed most targets first: that clears who was beside it."""
+        """Quarantine the requests that caused their crashes.
+
+        Those with the most crashes come first, as each quarantine clears the other
+        suspects of these crashes.
+        """
         found = [
             (fingerprint, self._against(fingerprint))
             for fingerprint in self._crashes.repeated_suspects()
@@ -297,13 +336,13 @@
                 self._adopt(record, now, _describe(crashes))
 
     def _is_cause(self, fingerprint, crashes):
-        """Return whether the crashes under a request are its doing.
+        """Return whether a request caused the crashes under it.
 
-        Guards against others that are refused: those that ran beside the cause
-        more than once, as each of their crashes has another suspect with as many,
-        those that met correlated crashes, in which targets crash without them, and
-        those that many callers send, so that they ran at all targets that crashed
-        together.
+        Guards against harmless requests that are refused. There are three kinds.
+        Those that ran beside the cause several times: each of their crashes has
+        another suspect with as many crashes. Those that were in flight in correlated
+        crashes: targets that didn't run them crashed at the same time. Those that many
+        callers send: they ran at all targets that crashed together in one event.
         """
         if len(crashes) >= _QUARANTINED_ANYHOW_FROM:
             return True
@@ -323,9 +362,10 @@
         ]
 
     def _is_correlated(self, fingerprint, crash):
-        """Return whether another target crashed at the time, without the request.
+        """Return whether a target that didn't run the request crashed at the time.
 
-        One that ran under another request with as many crashes does not count.
+        A target doesn't count if another request that ran there has enough crashes to
+        be quarantined, as that one may be the cause.
         """
         return any(
             abs(other.at - crash.at) <= _CORRELATED_WITHIN
@@ -338,16 +378,26 @@
         )
 
     def _has_suspect(self, crash, crashes, besides):
-        """Return whether some other suspect of a crash has so many in all."""
+        """Return whether a crash has another suspect with this many crashes.
+
+        Parameters
+        ----------
+        crash : crashes.Crash
+            The crash whose suspects are looked at.
+        crashes : int
+            The least number of crashes that the other suspect has in all.
+        besides : str
+            The fingerprint of the request that is left out.
+        """
         return any(
             other != besides and len(self._against(other)) >= crashes
             for other in crash.suspects
         )
 
-    # What is remembered.
+    # Records of quarantined requests.
 
     def _adopt(self, record, now, how):
-        """Take a record in, unless the request was seen to do no harm since."""
+        """Store a record, unless the request was cleared after it was decided."""
         fingerprint = record.fingerprint
         cleared_at = self._crashes.cleared_at(fingerprint, None)
         if cleared_at is not None and cleared_at >= record.decided_at:
@@ -373,7 +423,7 @@
             self._forget(oldest.fingerprint)
 
     def _adopt_all(self, listed, now):
-        """Take in all that the platform has; what it had before is lifted."""
+        """Adopt all records of the platform, and lift those that it has no more."""
         names = {record.fingerprint for record in listed.records}
         for record in self.records():
             is_gone = record.fingerprint not in names
@@ -383,7 +433,7 @@
             self._adopt(record, now, "listed")
 
     def _lift(self, fingerprint, now):
-        """Let a request be sent again, and forget what it had crashed."""
+        """End the quarantine of a request and clear its earlier crashes."""
         if fingerprint not in self.record_by_fingerprint:
             return
         self._forget(fingerprint)
@@ -397,11 +447,12 @@
         self._let_through.discard(fingerprint)
 
     def _write(self, record, now):
-        """Have the platform remember a record, if it is this host's turn.
+        """Write a record to the platform, if it is this host's turn.
 
-        Guards against a loss of power that takes every host's memory. All hosts
-        decide at about the same time; they take turns, so that one writes, and the
-        next where the platform turns that one away.
+        Guards against a power loss that erases the memory of all hosts, after which
+        the request would crash targets again. All hosts decide at about the same time,
+        so they take turns by rank: one writes, and the next one writes if the platform
+        has refused the host before it.
         """
         fingerprint = record.fingerprint
         turn = self._unwritten_since[fingerprint]
@@ -412,7 +463,10 @@
         self._state.emit(WriteQuarantine(record))
 
     def _rank(self, fingerprint):
-        """Return the place of this host among those that may write a record."""
+        """Return this host's rank among the live hosts for writing a record; 0 first.
+
+        A host that isn't live comes last.
+        """
         names = [row.name for row in self._state.live_entries()]
         me = self._state.me.name
         ranked = hashing.rank(fingerprint, names)
@@ -424,10 +478,11 @@
             self._let_through.add(event.record.fingerprint)
 
     def _begin_try(self, record, now):
-        """Let a request through once more, some time after it was quarantined.
+        """Start a trial run of a quarantined request, if one is due.
 
-        Guards against a request that is refused for good although its cause is
-        mended. The platform counts the tries, and one host makes them.
+        Guards against a request that is refused for good although the fault that made
+        it crash targets is fixed. The platform counts the trial runs, and only the
+        host with the first rank makes them, so that hosts don't make one each.
         """
         allowed = min(len(_TRIED_AFTER), _QUARANTINED_ANYHOW_FROM - record.crashes)
         if record.tries >= allowed:
@@ -442,27 +497,34 @@
         self._state.emit(WriteQuarantine(more, is_try=True))
 
     def records(self):
-        """Return the `gossip.QuarantinedRequest` of all that are refused."""
+        """Return the `gossip.QuarantinedRequest` of all quarantined requests."""
         return list(self.record_by_fingerprint.values())
 
     def written(self):
-        """Return the records that the platform is known to have."""
+        """Return the records that the platform is known to have stored."""
         return [record for record in self.records() if record.revision]
 
-    # What is told to peers and heard from them.
+    # Gossip with peers.
 
     def told(self, whole):
-        """Return the `gossip.CrashNews` for a peer."""
+        """Return the `gossip.CrashNews` to send to a peer.
+
+        Parameters
+        ----------
+        whole : bool
+            Whether to send all crashes and clearings that are known, as to a peer that
+            has just started, and not only those that are still announced.
+        """
         crashes, cleared = self._crashes.told(whole)
         records = tuple(self.record_by_fingerprint.values())
         return gossip.CrashNews(crashes, cleared, records[-_MAX_TOLD:])
 
     def note_round(self):
-        """Count a round of gossip in which what is news was told."""
+        """Count a gossip round in which the recent records were announced."""
         self._crashes.note_round()
 
     def hear(self, news, now):
-        """Take in what a peer tells."""
+        """Merge a `gossip.CrashNews` received from a peer."""
         self._crashes.hear(news.crashes, news.cleared)
         for told in news.cleared:
             record = self.record_by_fingerprint.get(told.fingerprint)
@@ -473,7 +535,7 @@
 
 
 def _are_one_event(crashes):
-    """Return whether targets crashed together, each with several requests."""
+    """Return whether targets crashed together, each while it ran several requests."""
     times = [crash.at for crash in crashes]
     if not times or max(times) - min(times) > _AT_ONCE:
         return False
@@ -486,4 +548,4 @@
 
 def _describe(crashes):
     names = ", ".join(sorted(crash.life.name for crash in crashes))
-    return f"{len(crashes)} targets crashed under it: {names}"
+    return f"{len(crashes)} targets crashed while running it: {names}"
