--- a/packages/decide/sesamespindle/decide/quarantine.py
+++ b/packages/decide/sesamespindle/decide/quarantine.py
@@ -18,37 +18,37 @@
 # The number of crashes from which a request is refused in any case, even if other
 # suspects ran beside it each time or its targets crashed together with others. At most
 # three runs after the third crash are allowed in all. They include the trial runs of
-# `_TRIED_AFTER`, and one is left for a host that learns of the crashes late.
-_QUARANTINED_ANYHOW_FROM = 5
+# `_TRIALS_AFTER`, and one is left for a host that learns of the crashes late.
+_ALWAYS_QUARANTINED_FROM = 5
 # The number of uncorrelated crashes that a quarantine needs, as one may be chance.
-_UNCORRELATED = 2
+_MIN_UNCORRELATED = 2
 # The number of uncorrelated crashes from which a suspect gets a target of its own that
 # no other such suspect uses.
-_APART_FROM = 2
+_OWN_TARGET_FROM = 2
 # Crashes of one service at most this far apart are correlated.
 _CORRELATED_WITHIN = datetime.timedelta(seconds=0.5)
 # Crashes at most this far apart are one event. One request can't cause them one after
 # the other, as a retry takes longer than this to crash the next target.
-_AT_ONCE = datetime.timedelta(seconds=0.03)
+_ONE_EVENT_WITHIN = datetime.timedelta(seconds=0.03)
 # After this long the host has received what others saw of a crash. This covers three
 # rounds of urgent gossip and the delay of a busy host.
-_SETTLED_AFTER = datetime.timedelta(seconds=0.5)
+_REPORTED_WITHIN = datetime.timedelta(seconds=0.5)
 # For this long after its last crash a suspect keeps its target to itself. Its caller
 # tries again within this time.
-_KEEPS_TARGET_FOR = datetime.timedelta(seconds=2)
+_OWN_TARGET_FOR = datetime.timedelta(seconds=2)
 # The retry delay that callers of a quarantined request are given. The decision is not
 # expected to change sooner.
-_COME_BACK_AFTER = datetime.timedelta(minutes=1)
+_RETRY_AFTER = datetime.timedelta(minutes=1)
 # Each host waits this much longer than the host ranked before it until it writes a
 # record that the platform lacks. Several platform calls fit into this time.
 _WRITE_TURN = datetime.timedelta(seconds=1)
 # How long after the quarantine the first and the second trial run of a request are
 # allowed.
-_TRIED_AFTER = (datetime.timedelta(minutes=10), datetime.timedelta(hours=2))
+_TRIALS_AFTER = (datetime.timedelta(minutes=10), datetime.timedelta(hours=2))
 # The number of quarantined requests that are remembered, and that one gossip message
 # announces.
 _MAX_RECORDS = 1024
-_MAX_TOLD = 32
+_MAX_ANNOUNCED = 32
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -148,15 +148,15 @@
 
     def __init__(self, state, crashes, is_written=True):
         self._state = state
-        self._is_written = is_written
+        self._platform_stores = is_written
         self._crashes = crashes
         self.record_by_fingerprint = {}
         # When this host learned of records that the platform may lack, by fingerprint.
-        self._unwritten_since = {}
+        self._learned_at_by_fingerprint = {}
         # When the next write of a record may start, by fingerprint.
-        self._write_after = {}
+        self._next_write_at = {}
         # Fingerprints of requests that this host lets through once, as a trial run.
-        self._let_through = set()
+        self._pending_trials = set()
 
     def take(self, event, now):
         """Handle one of this module's events; return whether the event was one."""
@@ -164,9 +164,9 @@
             case QuarantineRead():
                 self._adopt(event.record, now, "read")
             case QuarantineWritten():
-                self._written(event, now)
+                self._adopt_written(event, now)
             case QuarantineUnwritten():
-                self._write_after[event.fingerprint] = now + retries.spread(
+                self._next_write_at[event.fingerprint] = now + retries.spread(
                     _WRITE_TURN, self._state.random
                 )
             case QuarantineLifted():
@@ -180,11 +180,11 @@
     def tick(self, now):
         """Quarantine causes of crashes, write records, and start trial runs."""
         self._quarantine_causes(now)
-        if not self._is_written:
+        if not self._platform_stores:
             return
         for record in self.records():
             if record.revision:
-                self._begin_try(record, now)
+                self._start_trial(record, now)
             else:
                 self._write(record, now)
 
@@ -192,27 +192,27 @@
 
     def refusal(self, fingerprint, now):
         """Return the `Refusal` of a request, or None if it may be sent."""
-        crashes = self._against(fingerprint)
+        crashes = self._counted_crashes(fingerprint)
         if len(crashes) >= _QUARANTINED_FROM:
-            if not self._have_settled(crashes, now):
+            if not self._all_reported(crashes, now):
                 return self._refuse(
                     commands.Code.SUSPECTED,
                     f"Targets crashed under this request, {len(crashes)} so far; "
                     "reports of other hosts are awaited.",
-                    _SETTLED_AFTER,
+                    _REPORTED_WITHIN,
                 )
             # Decide now: this request would be sent before the next tick.
             self._quarantine_causes(now)
         record = self.record_by_fingerprint.get(fingerprint)
         if record is None:
             return None
-        if fingerprint in self._let_through:
-            self._let_through.discard(fingerprint)
+        if fingerprint in self._pending_trials:
+            self._pending_trials.discard(fingerprint)
             return None
         return self._refuse(
             commands.Code.QUARANTINED,
             f"Targets crash under this request, {record.crashes} so far.",
-            _COME_BACK_AFTER,
+            _RETRY_AFTER,
         )
 
     def _refuse(self, code, message, base):
@@ -228,7 +228,7 @@
         if fingerprint in self.record_by_fingerprint:
             return _QUARANTINED_FROM
         unsure = self._crashes.possible_crashes(fingerprint)
-        return len(self._against(fingerprint)) + unsure
+        return len(self._counted_crashes(fingerprint)) + unsure
 
     def narrow(self, fingerprint, rows, now):
         """Return the target at which a suspect may run, or all for other requests.
@@ -260,12 +260,12 @@
         alive = [row for row in rows if not self._crashes.has_crashed(life_of(row))]
         row_by_name = {row.name: row for row in alive or rows}
         names = set(row_by_name)
-        if self._stays_apart(fingerprint):
-            names -= self._taken_by_others(fingerprint, names, now)
+        if self._needs_own_target(fingerprint):
+            names -= self._targets_of_others(fingerprint, names, now)
         chosen = hashing.first(fingerprint, names)
         return [row_by_name[chosen]] if chosen is not None else []
 
-    def _taken_by_others(self, fingerprint, names, now):
+    def _targets_of_others(self, fingerprint, names, now):
         """Return the targets taken by suspects that choose before this one.
 
         Suspects choose in the order of their fingerprints, on all hosts alike.
@@ -274,19 +274,21 @@
         for other in sorted(self._crashes.repeated_suspects()):
             if other >= fingerprint or taken == names:
                 break
-            if self._keeps_target(other, now) and self._stays_apart(other):
+            if self._reserves_target(other, now) and self._needs_own_target(other):
                 taken.add(hashing.first(other, names - taken))
         return taken
 
-    def _keeps_target(self, fingerprint, now):
-        latest = max((crash.at for crash in self._against(fingerprint)), default=None)
-        return latest is not None and now - latest < _KEEPS_TARGET_FOR
+    def _reserves_target(self, fingerprint, now):
+        latest = max(
+            (crash.at for crash in self._counted_crashes(fingerprint)), default=None
+        )
+        return latest is not None and now - latest < _OWN_TARGET_FOR
 
-    def _stays_apart(self, fingerprint):
+    def _needs_own_target(self, fingerprint):
         if fingerprint in self.record_by_fingerprint:
             return True
-        crashes = self._against(fingerprint)
-        return len(self._uncorrelated(fingerprint, crashes)) >= _APART_FROM
+        crashes = self._counted_crashes(fingerprint)
+        return len(self._uncorrelated_crashes(fingerprint, crashes)) >= _OWN_TARGET_FROM
 
     def served(self, fingerprint, now):
         """Record a successful run; it ends a quarantine of the request."""
@@ -297,7 +299,7 @@
 
     # Finding the causes of crashes.
 
-    def _against(self, fingerprint):
+    def _counted_crashes(self, fingerprint):
         """Return the crashes that a request may have caused.
 
         A crash with a quarantined request among its suspects is attributed to that one
@@ -312,8 +314,8 @@
     def _is_explained(self, crash):
         return not crash.suspects.isdisjoint(self.record_by_fingerprint)
 
-    def _have_settled(self, crashes, now):
-        return now - max(crash.at for crash in crashes) >= _SETTLED_AFTER
+    def _all_reported(self, crashes, now):
+        return now - max(crash.at for crash in crashes) >= _REPORTED_WITHIN
 
     def _quarantine_causes(self, now):
         """Quarantine the requests that caused their crashes.
@@ -322,14 +324,14 @@
         suspects of these crashes.
         """
         found = [
-            (fingerprint, self._against(fingerprint))
+            (fingerprint, self._counted_crashes(fingerprint))
             for fingerprint in self._crashes.repeated_suspects()
             if fingerprint not in self.record_by_fingerprint
         ]
         found.sort(key=lambda item: (-len(item[1]), item[0]))
         for fingerprint, _ in found:
-            crashes = self._against(fingerprint)
-            if len(crashes) < _QUARANTINED_FROM or not self._have_settled(crashes, now):
+            crashes = self._counted_crashes(fingerprint)
+            if len(crashes) < _QUARANTINED_FROM or not self._all_reported(crashes, now):
                 continue
             if self._is_cause(fingerprint, crashes):
                 record = gossip.QuarantinedRequest(fingerprint, now, len(crashes))
@@ -344,18 +346,19 @@
         crashes: targets that didn't run them crashed at the same time. Those that many
         callers send: they ran at all targets that crashed together in one event.
         """
-        if len(crashes) >= _QUARANTINED_ANYHOW_FROM:
+        if len(crashes) >= _ALWAYS_QUARANTINED_FROM:
             return True
-        outside = self._uncorrelated(fingerprint, crashes)
-        if _are_one_event(outside):
+        uncorrelated = self._uncorrelated_crashes(fingerprint, crashes)
+        if _are_one_event(uncorrelated):
             return False
-        has_no_other = any(
-            not self._has_suspect(crash, len(crashes), fingerprint) for crash in outside
+        is_main_suspect = any(
+            not self._has_other_suspect(crash, len(crashes), fingerprint)
+            for crash in uncorrelated
         )
-        return len(outside) >= _UNCORRELATED and has_no_other
+        return len(uncorrelated) >= _MIN_UNCORRELATED and is_main_suspect
 
-    def _uncorrelated(self, fingerprint, crashes):
-        if len(crashes) < _UNCORRELATED:
+    def _uncorrelated_crashes(self, fingerprint, crashes):
+        if len(crashes) < _MIN_UNCORRELATED:
             return []
         return [
             crash for crash in crashes if not self._is_correlated(fingerprint, crash)
@@ -373,11 +376,11 @@
             and fingerprint not in other.suspects
             and not other.is_refuted
             and not self._is_explained(other)
-            and not self._has_suspect(other, _QUARANTINED_FROM, fingerprint)
+            and not self._has_other_suspect(other, _QUARANTINED_FROM, fingerprint)
             for other in self._crashes.crash_by_life.values()
         )
 
-    def _has_suspect(self, crash, crashes, besides):
+    def _has_other_suspect(self, crash, crashes, excluded):
         """Return whether a crash has another suspect with this many crashes.
 
         Parameters
@@ -386,11 +389,11 @@
             The crash whose suspects are looked at.
         crashes : int
             The least number of crashes that the other suspect has in all.
-        besides : str
+        excluded : str
             The fingerprint of the request that is left out.
         """
         return any(
-            other != besides and len(self._against(other)) >= crashes
+            other != excluded and len(self._counted_crashes(other)) >= crashes
             for other in crash.suspects
         )
 
@@ -403,13 +406,13 @@
         if cleared_at is not None and cleared_at >= record.decided_at:
             return
         known = self.record_by_fingerprint.get(fingerprint)
-        if known is not None and _standing(known) >= _standing(record):
+        if known is not None and _version_of(known) >= _version_of(record):
             return
         self.record_by_fingerprint[fingerprint] = record
         if record.revision:
-            self._unwritten_since.pop(fingerprint, None)
+            self._learned_at_by_fingerprint.pop(fingerprint, None)
         else:
-            self._unwritten_since.setdefault(fingerprint, now)
+            self._learned_at_by_fingerprint.setdefault(fingerprint, now)
         self._state.tells_crashes = True
         if known is None:
             self._state.emit(commands.Note("request_quarantined", fingerprint, how))
@@ -424,10 +427,10 @@
 
     def _adopt_all(self, listed, now):
         """Adopt all records of the platform, and lift those that it has no more."""
-        names = {record.fingerprint for record in listed.records}
+        fingerprints = {record.fingerprint for record in listed.records}
         for record in self.records():
-            is_gone = record.fingerprint not in names
-            if is_gone and 0 < record.revision <= listed.revision:
+            is_removed = record.fingerprint not in fingerprints
+            if is_removed and 0 < record.revision <= listed.revision:
                 self._lift(record.fingerprint, now)
         for record in listed.records:
             self._adopt(record, now, "listed")
@@ -442,9 +445,9 @@
 
     def _forget(self, fingerprint):
         del self.record_by_fingerprint[fingerprint]
-        self._unwritten_since.pop(fingerprint, None)
-        self._write_after.pop(fingerprint, None)
-        self._let_through.discard(fingerprint)
+        self._learned_at_by_fingerprint.pop(fingerprint, None)
+        self._next_write_at.pop(fingerprint, None)
+        self._pending_trials.discard(fingerprint)
 
     def _write(self, record, now):
         """Write a record to the platform, if it is this host's turn.
@@ -455,11 +458,11 @@
         has refused the host before it.
         """
         fingerprint = record.fingerprint
-        turn = self._unwritten_since[fingerprint]
-        turn += self._rank(fingerprint) * _WRITE_TURN
-        if now < max(turn, self._write_after.get(fingerprint, turn)):
+        turn_at = self._learned_at_by_fingerprint[fingerprint]
+        turn_at += self._rank(fingerprint) * _WRITE_TURN
+        if now < max(turn_at, self._next_write_at.get(fingerprint, turn_at)):
             return
-        self._write_after[fingerprint] = now + _WRITE_TURN
+        self._next_write_at[fingerprint] = now + _WRITE_TURN
         self._state.emit(WriteQuarantine(record))
 
     def _rank(self, fingerprint):
@@ -472,29 +475,29 @@
         ranked = hashing.rank(fingerprint, names)
         return ranked.index(me) if me in ranked else len(ranked)
 
-    def _written(self, event, now):
+    def _adopt_written(self, event, now):
         self._adopt(event.record, now, "written")
         if event.is_try:
-            self._let_through.add(event.record.fingerprint)
+            self._pending_trials.add(event.record.fingerprint)
 
-    def _begin_try(self, record, now):
+    def _start_trial(self, record, now):
         """Start a trial run of a quarantined request, if one is due.
 
         Guards against a request that is refused for good although the fault that made
         it crash targets is fixed. The platform counts the trial runs, and only the
         host with the first rank makes them, so that hosts don't make one each.
         """
-        allowed = min(len(_TRIED_AFTER), _QUARANTINED_ANYHOW_FROM - record.crashes)
+        allowed = min(len(_TRIALS_AFTER), _ALWAYS_QUARANTINED_FROM - record.crashes)
         if record.tries >= allowed:
             return
-        if now < record.decided_at + _TRIED_AFTER[record.tries]:
+        if now < record.decided_at + _TRIALS_AFTER[record.tries]:
             return
         fingerprint = record.fingerprint
-        if now < self._write_after.get(fingerprint, now) or self._rank(fingerprint):
+        if now < self._next_write_at.get(fingerprint, now) or self._rank(fingerprint):
             return
-        self._write_after[fingerprint] = now + _WRITE_TURN
-        more = dataclasses.replace(record, tries=record.tries + 1)
-        self._state.emit(WriteQuarantine(more, is_try=True))
+        self._next_write_at[fingerprint] = now + _WRITE_TURN
+        counted = dataclasses.replace(record, tries=record.tries + 1)
+        self._state.emit(WriteQuarantine(counted, is_try=True))
 
     def records(self):
         """Return the `gossip.QuarantinedRequest` of all quarantined requests."""
@@ -517,7 +520,7 @@
         """
         crashes, cleared = self._crashes.told(whole)
         records = tuple(self.record_by_fingerprint.values())
-        return gossip.CrashNews(crashes, cleared, records[-_MAX_TOLD:])
+        return gossip.CrashNews(crashes, cleared, records[-_MAX_ANNOUNCED:])
 
     def note_round(self):
         """Count a gossip round in which the recent records were announced."""
@@ -526,10 +529,10 @@
     def hear(self, news, now):
         """Merge a `gossip.CrashNews` received from a peer."""
         self._crashes.hear(news.crashes, news.cleared)
-        for told in news.cleared:
-            record = self.record_by_fingerprint.get(told.fingerprint)
-            if record is not None and record.decided_at <= told.at:
-                self._lift(told.fingerprint, told.at)
+        for cleared in news.cleared:
+            record = self.record_by_fingerprint.get(cleared.fingerprint)
+            if record is not None and record.decided_at <= cleared.at:
+                self._lift(cleared.fingerprint, cleared.at)
         for record in news.quarantined:
             self._adopt(record, now, "heard")
 
@@ -537,12 +540,12 @@
 def _are_one_event(crashes):
     """Return whether targets crashed together, each while it ran several requests."""
     times = [crash.at for crash in crashes]
-    if not times or max(times) - min(times) > _AT_ONCE:
+    if not times or max(times) - min(times) > _ONE_EVENT_WITHIN:
         return False
     return all(len(crash.suspects) > 1 for crash in crashes)
 
 
-def _standing(record):
+def _version_of(record):
     return record.revision, record.tries
 
 
