--- a/packages/decide/sesamespindle/decide/__init__.py
+++ b/packages/decide/sesamespindle/decide/__init__.py
@@ -1,1 +1,1 @@
-"""The decision logic of sesamespindle: pure, deterministic and without I/O."""
+"""The decision logic of sesamespindle; it is deterministic and does no I/O."""
--- a/packages/decide/sesamespindle/decide/declared.py
+++ b/packages/decide/sesamespindle/decide/declared.py
@@ -1,4 +1,4 @@
-"""What operators have declared, as the decision logic sees it."""
+"""The operators' declarations, in the form that the decision logic uses."""
 
 import dataclasses
 import datetime
@@ -6,7 +6,7 @@
 
 
 class TargetKind(enum.StrEnum):
-    """What stands behind a target's address."""
+    """The kind of process that answers at a target's address."""
 
     ENGINE = "engine"
     SERVICE = "service"
@@ -19,16 +19,20 @@
 
     Attributes
     ----------
+    account : str
+        The name of the account.
     concurrency : int
-        Prompts at once, over all entries.
+        The number of concurrent prompts, over all entry hosts.
     call_concurrency : int
-        Calls to plain services at once, over all entries.
+        The number of concurrent calls to plain services, over all entry hosts.
     priority : int
-        Weight in queues, 1 to 10.
+        The weight in queues, 1 to 10.
     retained_tokens : int
-        Tokens of context kept for the account after use.
+        The tokens of context to keep for the account after use. No decision uses it.
     key_hashes : tuple of str
-        SHA-256 of each key, in hexadecimal.
+        The SHA-256 of each API key, in hexadecimal.
+    pools : tuple of str
+        The pools that the account may use; empty for all.
     """
 
     account: str
@@ -42,7 +46,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EventShare:
-    """The share of a pool that an account has at an event's start, 0 to 1."""
+    """The share of a pool, from 0 to 1, that an account has when an event starts."""
 
     account: str
     share: float
@@ -50,7 +54,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Event:
-    """A fixed hour at which callers arrive together."""
+    """A scheduled time at which many callers arrive together.
+
+    No decision uses it.
+
+    Attributes
+    ----------
+    starts_at : datetime.datetime
+        When the event starts.
+    lead : datetime.timedelta
+        The lead time before the start.
+    lasts : datetime.timedelta
+        How long the event lasts.
+    """
 
     name: str
     pool: str
@@ -62,7 +78,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Model:
-    """A model, the pool that runs it, and the weight version in force."""
+    """A model, the pool that runs it, and its active weight version.
+
+    Attributes
+    ----------
+    context_tokens : int
+        The context length, in tokens.
+    """
 
     name: str
     pool: str
@@ -72,14 +94,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pool:
-    """Targets that do the same work.
+    """Interchangeable targets.
 
     Attributes
     ----------
+    concurrency : int
+        The most that the limits of the contracts which use the pool may add up to.
     repeatable_paths : tuple of str
-        Paths of a service that may be called again after a lost answer.
+        Paths of a service that are idempotent, so that a call whose answer was lost may
+        be retried.
     store : str
-        The pool of store hosts that keeps the engines' contexts; may be empty.
+        The pool of store hosts that keeps the engines' KV caches; may be empty.
     """
 
     name: str
@@ -91,7 +116,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Target:
-    """A host that does a pool's work; its address comes from the host list."""
+    """A target of a pool; its address comes from the host list.
+
+    Attributes
+    ----------
+    checks_fencing : bool
+        Whether the target checks fencing tokens. No decision uses it.
+    """
 
     name: str
     pool: str
@@ -109,7 +140,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Declarations:
-    """Everything declared at one revision."""
+    """All declarations at one revision."""
 
     contracts: tuple[Contract, ...] = ()
     events: tuple[Event, ...] = ()
--- a/packages/decide/sesamespindle/decide/fingerprints.py
+++ b/packages/decide/sesamespindle/decide/fingerprints.py
@@ -1,4 +1,4 @@
-"""What makes two requests the same, whatever ids they bear."""
+"""Fingerprints that identify equal requests regardless of their ids."""
 
 import hashlib
 
@@ -6,13 +6,19 @@
 
 
 def of_content(*parts):
-    """Return a digest of what a caller sends.
+    """Return a digest of the content of a request.
 
     Parameters
     ----------
-    parts : bytes
-        Such as method, path and body. Each counts with its length, so that the end
-        of one can't be taken for the beginning of the next.
+    *parts : bytes
+        The parts of the content, such as method, path and body. The length of each is
+        hashed too, so that moving bytes from the end of one part to the start of the
+        next gives another digest.
+
+    Returns
+    -------
+    digest : bytes
+        16 bytes.
     """
     digest = hashlib.blake2b(digest_size=_DIGEST_BYTES)
     for part in parts:
@@ -22,10 +28,11 @@
 
 
 class Fingerprints:
-    """Names requests by who sends them and what they hold, and tells nothing of it.
+    """Computes fingerprints of requests from their client account and content.
 
-    It is a keyed cryptographic digest: a collision would have one request refused for
-    what another did, and without the key nobody can try out contents.
+    A fingerprint reveals neither. It is a keyed cryptographic digest: a collision
+    would refuse one request for crashes that another caused, and without the key nobody
+    can find a request's content by hashing guesses.
 
     Parameters
     ----------
@@ -37,19 +44,19 @@
         self._key = hashlib.blake2b(key.encode(), digest_size=32).digest()
 
     def of(self, account, content):
-        """Return the fingerprint of a request, hexadecimal.
+        """Return the fingerprint of a request.
 
         Parameters
         ----------
         account : str
-            The client account; empty where none is asked for.
+            The client account; empty if the request needs none.
         content : bytes or None
-            From `of_content`; None where the body isn't known whole.
+            From `of_content`; None if the complete body isn't available.
 
         Returns
         -------
         fingerprint : str
-            Empty where the content isn't known.
+            32 hexadecimal digits, or empty if `content` is None.
         """
         if content is None:
             return ""
--- a/packages/decide/sesamespindle/decide/tables.py
+++ b/packages/decide/sesamespindle/decide/tables.py
@@ -1,4 +1,4 @@
-"""Tables of rows, the form in which the decision logic keeps its entities."""
+"""In-memory tables of rows, which hold the entities of the decision logic."""
 
 import typing
 
@@ -6,14 +6,15 @@
 
 
 class Table(typing.Generic[Row]):
-    """Rows by their id, with optional indices by further attributes.
+    """Rows by id, with optional indices by further attributes.
 
     Parameters
     ----------
     id_name : str
-        The attribute of a row that is its id. It must never change.
-    index_names : str
-        Attributes to index by. They must not change while the row is in.
+        The name of the row attribute that is its id. Its value must never change.
+    *index_names : str
+        The names of the attributes to index by. Their values must not change while the
+        row is in the table.
     """
 
     def __init__(self, id_name, *index_names):
@@ -22,7 +23,7 @@
         self._indices = {name: {} for name in index_names}
 
     def add(self, row):
-        """Put a row in, in place of an older one with the same id."""
+        """Add a row; it replaces one with the same id."""
         row_id = getattr(row, self._id_name)
         self.remove(row_id)
         self.by_id[row_id] = row
@@ -30,7 +31,7 @@
             index.setdefault(getattr(row, name), {})[row_id] = row
 
     def remove(self, row_id):
-        """Take a row out and return it, or None where there is none."""
+        """Remove a row and return it, or None if there is none with this id."""
         row = self.by_id.pop(row_id, None)
         if row is None:
             return None
@@ -46,11 +47,11 @@
         return self.by_id.get(row_id)
 
     def where(self, name, value):
-        """Return the rows whose indexed attribute has this value."""
+        """Return the rows whose indexed attribute `name` has this value."""
         return self._indices[name].get(value, {}).values()
 
     def keys_of(self, name):
-        """Return the values that an indexed attribute has in any row."""
+        """Return the distinct values of the indexed attribute `name`."""
         return self._indices[name].keys()
 
     def __iter__(self):
