--- a/packages/decide/sesamespindle/decide/world.py
+++ b/packages/decide/sesamespindle/decide/world.py
@@ -1,4 +1,4 @@
-"""The tables that all systems of one daemon's decision logic share."""
+"""The state that all parts of one daemon's decision logic share."""
 
 import collections
 import dataclasses
@@ -20,40 +20,44 @@
     tables,
 )
 
-# A version that a target was seen to run is told in so many rounds of gossip: all of
-# a data centre have heard it after some five, and each tells it on.
+# The weight version that a target was seen to run is announced in this many gossip
+# rounds. All hosts of a data centre have received it after about five, as each host
+# forwards it.
 VERSION_ROUNDS = 10
-# A record that was refuted is passed over for this long. Those of crashed targets
-# lapse after three heartbeats of 1.2 s; after that it would be another writer's
-# word against the target's own, and the target is asked again.
+# A target's record that was refuted is ignored for this long. The record of a crashed
+# target expires after three heartbeats of 1.2 s. One that is listed for longer is kept
+# up by another writer and contradicts the answer of the target at the address, so
+# requests are sent there again to find out.
 _REFUTED_FOR = datetime.timedelta(seconds=10)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Policy:
-    """Numbers that operators may set for a process.
+    """Limits that operators may set for a process.
 
     Attributes
     ----------
     queue_patience : datetime.timedelta
-        The longest that a request is expected to wait for a slot.
+        The longest expected wait for a slot with which a request is still queued.
     first_token_patience : datetime.timedelta
-        The longest expected time to first token that is still tried.
+        The longest expected time to first token with which a prompt is still sent.
     resume_attempts : int
-        How often a lost link to one stream is taken up again.
+        How often the connection to one stream is resumed after it was lost.
     max_attempts : int
-        Starts of one request at targets, resumes not counted.
+        How often one request is started at targets; resumes don't count.
     call_timeout : datetime.timedelta
-        The longest that a plain service may take.
+        The longest time that a plain service may take to answer.
     retry_after : datetime.timedelta
-        When to come back, where nothing better is known.
+        The retry delay that callers are given if no better one is known.
     routing : str
-        One of `routing.Routing`.
+        A value of `routing.Routing`.
     grant_lifetime : datetime.timedelta
-        How long an entry may use a slice of an account's limit. Longer than
-        `suspect_after`, so that an owner knows who may be without one.
+        How long an entry may use a slice of an account's limit. It is longer than
+        `suspect_after`, so that an owner suspects an unreachable entry, and reserves
+        the fallback share for it, before the slice of that entry expires.
     suspect_after : datetime.timedelta
-        Silence after which an entry is suspected; after twice that it is dead.
+        How long an entry must be silent to be suspected. After twice this time it is
+        considered dead.
     """
 
     queue_patience: datetime.timedelta = datetime.timedelta(seconds=2)
@@ -69,7 +73,15 @@
 
 @dataclasses.dataclass(slots=True)
 class Usage:
-    """What an account uses here of one limit, and how long it usually holds it."""
+    """An account's use of one limit at this host.
+
+    Attributes
+    ----------
+    running : int
+        The requests that run now.
+    holding_time : datetime.timedelta
+        How long a request usually occupies a slot.
+    """
 
     running: int = 0
     holding_time: datetime.timedelta = datetime.timedelta(seconds=1)
@@ -81,7 +93,7 @@
 
 @dataclasses.dataclass(slots=True)
 class AccountRow:
-    """A client account: its contract and what it uses here."""
+    """A client account: its contract and its use of the limits at this host."""
 
     name: str
     contract: declared.Contract
@@ -92,12 +104,16 @@
 
 @dataclasses.dataclass(slots=True)
 class SentWork:
-    """Prompt tokens sent to a target whose first token hasn't come.
+    """Prompts sent to a target that has not returned their first token.
 
     Attributes
     ----------
+    at : datetime.datetime
+        When they were sent.
+    tokens : int
+        The prompt tokens to prefill.
     held_tokens : int
-        Tokens of memory that the requests need until they end.
+        The tokens of KV cache that the requests occupy until they end.
     """
 
     at: datetime.datetime
@@ -107,11 +123,12 @@
 
 @dataclasses.dataclass(slots=True)
 class TargetRow:
-    """One life of a target: what is declared, listed, reported and seen of it.
+    """One incarnation of a target: what is declared, listed, reported and observed.
 
-    Guards against a target that started again under its name and is still taken
-    for what it was: placed by what it held, shunned for its failures, left alone
-    as leaving. All of that stands in its row, and each life has a row of its own.
+    Guards against a target that restarts under its name and is treated by the state
+    that it had before: it would get prompts for a KV cache that it lost, stay ejected
+    for earlier failures, or get no work as it was leaving. All of this state is in the
+    row, and each incarnation has a row of its own.
     """
 
     name: str
@@ -130,58 +147,71 @@
     reported_backlog: int = 0
     prefill_rate: float = 20_000.0
     sent_by_request: dict[str, SentWork] = dataclasses.field(default_factory=dict)
-    # What follows is kept of targets that the platform lists by incarnation.
+    # The fields below are used for targets that the platform lists by incarnation.
+    # `born` is the start time of the incarnation, in milliseconds since the epoch.
     born: int = 0
     slots: int = 1
     revision: int = 0
-    # The record's revision that last listed older weights than the one before it.
+    # The latest revision of the target's record that listed an older weight version
+    # than the revision before it.
     fell_at_revision: int = 0
     missing_since: datetime.datetime | None = None
     # Whether its data centre is evacuated.
     evacuated: bool = False
-    # Until when it bears few requests, the record's revision that told so, and when
-    # this host last sent it one meanwhile.
+    # Until when the target warms up and gets few requests, the revision of its record
+    # that said so, and when this host last sent it a request during the warm-up.
     cold_until: datetime.datetime | None = None
     cold_revision: int = 0
     cold_sent_at: datetime.datetime | None = None
-    # When nobody listened at its address.
+    # When a connection to its address was last refused.
     refused_at: datetime.datetime | None = None
-    # The name of a target whose later record has the same address, or empty.
+    # The name of the target whose later record has the same address; empty if none.
     superseded_by: str = ""
     version_by_model: dict[str, int] = dataclasses.field(default_factory=dict)
     listed_version_by_model: dict[str, int] = dataclasses.field(default_factory=dict)
-    # Rounds of gossip in which its versions are still told, as they are news.
+    # Gossip rounds in which its weight versions are still announced.
     version_rounds: int = 0
-    # What it is thought to run after it refused what it was known to run.
+    # The weight version that it probably runs, after it refused requests for the one
+    # that it was known to run.
     guessed_version: int | None = None
     switching_until: datetime.datetime | None = None
     reported_load: int = 0
     service_time: datetime.timedelta | None = None
     failure_rate: float = 0.0
-    # Parts of prompts that this daemon had it read, least recently used first.
+    # The tokens of the prompt parts (shared prefix segments) that the target prefilled
+    # for this daemon, by salt and part id, least recently used first.
     read_parts: dict[tuple, int] = dataclasses.field(default_factory=dict)
     read_tokens: int = 0
-    # Tokens of memory that requests from here need, by the request's id.
+    # The tokens of KV cache that requests from this host occupy, by request id.
     held_by_request: dict[str, int] = dataclasses.field(default_factory=dict)
-    # What peers have sent and told of, by the peer's name.
+    # The work that peers have sent to the target and announced, by the peer's name.
     peer_work_by_entry: dict[str, SentWork] = dataclasses.field(default_factory=dict)
 
     @property
     def life(self):
-        """The `lives.Life` that this row is about."""
+        """The `lives.Life` of the incarnation that this row describes."""
         return lives.Life(self.name, self.born)
 
     def learn_version(self, model, version):
-        """Take in a version that the target was seen to run; it only rises."""
+        """Record a weight version that the target was seen to run; it only rises."""
         if version > self.version_by_model.get(model, 0):
             self._set_version(model, version)
 
     def adopt_versions(self, version_by_model, revision):
-        """Take in the versions of the target's own record.
-
-        Guards against an engine that is taken for up to date for good: an order of
-        before its restart is carried out late, its count of orders fits again, and
-        the engine goes back to older weights. Only its own later record shows that.
+        """Adopt the weight versions of the target's own record.
+
+        Guards against an engine that has gone back to older weights and is considered
+        up to date for good. This happens if the engine carries out a load order late
+        that was given before its restart: its count of orders matches again, and only
+        a later record of the engine shows the older weights. So the versions of its
+        record may fall, unlike those that hosts observe.
+
+        Parameters
+        ----------
+        version_by_model : dict of str to int
+            The weight version of each model that the record lists.
+        revision : int
+            The revision of the record.
         """
         before = self.listed_version_by_model
         self.listed_version_by_model = version_by_model
@@ -197,7 +227,17 @@
         self.version_rounds = VERSION_ROUNDS
 
     def note_read(self, salt, parts, capacity):
-        """Remember that the target holds parts now, and forget the oldest."""
+        """Record prompt parts that the target caches, and drop those used longest ago.
+
+        Parameters
+        ----------
+        salt : str
+            The cache salt that the parts are cached under.
+        parts : sequence
+            Prompt parts with `part_id` and `tokens`.
+        capacity : int
+            The KV cache capacity of the target, in tokens.
+        """
         for part in parts:
             key = salt, part.part_id
             self.read_tokens -= self.read_parts.pop(key, 0)
@@ -209,20 +249,20 @@
 
     @property
     def stays(self):
-        """Whether the target is there, and is not to be emptied."""
+        """Whether the target is listed and is neither leaving nor evacuated."""
         return self.listed and not self.leaving and not self.evacuated
 
     def usable(self, now):
-        """Return whether the target may get new work."""
+        """Return whether the target may get new work: it stays and isn't ejected."""
         if not self.stays or not self.url:
             return False
         return self.shunned_until is None or now >= self.shunned_until
 
     def backlog(self, now):
-        """Return the prompt tokens that are expected to wait there.
+        """Return the number of prompt tokens that probably wait at the target.
 
-        The report lags, so what was sent since it was taken is added, and
-        what the target has worked off since then is taken away.
+        The load report lags. So the tokens that this host sent after it are added, and
+        those that the target has prefilled since, by its prefill rate, are subtracted.
         """
         if self.reported_at is None:
             return sum(work.tokens for work in self.sent_by_request.values())
@@ -238,7 +278,7 @@
 
 @dataclasses.dataclass(slots=True)
 class EntryRow:
-    """An entry host, by the list, by gossip, or by both."""
+    """An entry host, known from the platform's list, from gossip, or from both."""
 
     name: str
     data_centre: str
@@ -253,14 +293,14 @@
 
 
 class World:
-    """The state of one daemon, and the commands of the step under way.
+    """The state of one daemon, and the commands of the current step.
 
     Parameters
     ----------
     me : events.Host
         This daemon's own entry host.
-    policy : Policy
-        The numbers in force.
+    policy : Policy, optional
+        The operators' limits; the defaults if None.
     seed : int
         The seed of the only source of randomness.
     started_at : datetime.datetime, optional
@@ -273,11 +313,11 @@
         self.random = random.Random(seed)
         self.revision = 0
         self.declarations = declared.Declarations()
-        # How this host leaves, once it does.
+        # How this host leaves; None until it does.
         self.departure: departure.Departure | None = None
-        # Whether the platform's list or a peer has told of the other entries.
+        # Whether the other entries are known, from the platform's list or from a peer.
         self.knows_entries = False
-        # When an entry was last seen to be replaced by a new incarnation.
+        # When an entry was last seen to have been replaced by a new incarnation.
         self.replaced_at = None
         self.accounts: tables.Table[AccountRow] = tables.Table("name")
         self.models: tables.Table[declared.Model] = tables.Table("name", "pool")
@@ -285,51 +325,53 @@
         self.targets: tables.Table[TargetRow] = tables.Table("name", "pool", "kind")
         self.entries: tables.Table[EntryRow] = tables.Table("name", "data_centre")
         self.budget_by_pool = collections.defaultdict(retries.RetryBudget)
-        # The services that the configuration names; empty until there is one.
+        # The services of the configuration; empty until there is a configuration.
         self.service_names: frozenset[str] = frozenset()
-        # What targets bear that have just started, by the service.
+        # The reduced load that targets get while they warm up, by service.
         self.cold_start_by_service: dict[str, routes.ColdStart] = {}
-        # The data centres whose targets are to get nothing.
+        # The data centres whose targets get no requests.
         self.evacuated_data_centres: frozenset[str] = frozenset()
-        # The record's revision and when it was refuted, by the target's life.
+        # The revision of a refuted record, and when it was refuted, by incarnation.
         self._refuted_by_life = {}
         self.region_by_data_centre: dict[str, str] = {}
-        # The latest change seen, and the revision up to which all are known,
-        # by kind of object.
+        # The revision of the latest change seen, and the revision up to which all
+        # changes are known, by kind of platform object.
         self.seen_by_kind: dict[str, int] = {}
         self.covered_by_kind: dict[str, int] = {}
         self.namings = namings.Namings()
         self.pauses = pauses.Pauses(started_at)
-        # The latest lease that its holder has given up, as heard.
+        # The latest known release of the lease by its holder.
         self.lease_release: gossip.LeaseRelease | None = None
-        # Whether work was sent that peers are to hear of before the next round.
+        # Whether work was sent that must be announced before the next gossip round.
         self.tells_pending = False
-        # Whether peers are to hear of a crash, and what follows, before the next round.
+        # Whether a crash, a clearing or a quarantine must be announced before the next
+        # gossip round.
         self.tells_crashes = False
         # Rises with every change of the entries or their states.
         self.view = 0
-        # Counts the places given in turn, where routing goes in turn.
+        # Counts the placements by round-robin routing.
         self.turn = 0
         self._out = []
         self._live_entries = None
         self._owner_by_account = {}
 
     def target_in(self, life):
-        """Return the row of a target in a life of it, or None once that is over."""
+        """Return the row of a target's incarnation, or None if it isn't current."""
         row = self.targets.get(life.name) if life is not None else None
         return row if row is not None and row.born == life.born else None
 
     def drop_target(self, name):
-        """Take a target out; one that it superseded is used again."""
+        """Remove a target; one that it superseded is used again."""
         self.targets.remove(name)
         for other in self.targets:
             if other.superseded_by == name:
                 other.listed, other.superseded_by = True, ""
 
     def refute_target(self, row, now):
-        """Take out a target that isn't at its address, as who is there has said.
+        """Remove a target after another one answered at its address.
 
-        Its record may stand in the list for some heartbeats yet.
+        The record may stay in the platform's list for some heartbeats. It is ignored
+        for `_REFUTED_FOR`.
         """
         self.drop_target(row.name)
         self._refuted_by_life = {
@@ -341,17 +383,22 @@
         self.emit(commands.Note("target_replaced", row.name, row.url))
 
     def is_refuted(self, life, revision, now):
-        """Return whether a record is one that was shown to be wrong lately."""
+        """Return whether a target's record was refuted recently.
+
+        Guards against a crashed target that gets requests again: its record is still
+        listed for some heartbeats and would add the target back. A record of a later
+        revision or incarnation isn't refuted.
+        """
         refuted, at = self._refuted_by_life.get(life, (0, now))
         return now - at <= _REFUTED_FOR and revision <= refuted
 
     @property
     def leaving(self):
-        """Whether this host leaves."""
+        """Whether this host is leaving."""
         return self.departure is not None
 
     def emit(self, command):
-        """Add a command to those that the step returns."""
+        """Add a command to those that the current step returns."""
         self._out.append(command)
 
     def take_commands(self):
@@ -360,7 +407,7 @@
         return out
 
     def put_entry(self, row):
-        """Add an entry, or replace what was known of it."""
+        """Add an entry, or replace its row."""
         known = self.entries.get(row.name)
         if known is not None and _standing(known) == _standing(row):
             known.heartbeat = row.heartbeat
@@ -371,13 +418,16 @@
         self.note_view_change()
 
     def note_view_change(self):
-        """Forget what was worked out from the entries and their states."""
+        """Invalidate what is cached of the entries and their states."""
         self.view += 1
         self._live_entries = None
         self._owner_by_account.clear()
 
     def owner(self, account):
-        """Return the entry row of an account's owner, or None."""
+        """Return the entry row of the owner of an account's limits, or None.
+
+        The owner is the live entry that rendezvous hashing prefers for the account.
+        """
         if account not in self._owner_by_account:
             rows_by_name = {row.name: row for row in self.live_entries()}
             name = hashing.first(account, rows_by_name)
@@ -385,9 +435,10 @@
         return self._owner_by_account[account]
 
     def note_incarnation(self, name, incarnation, now):
-        """Remember that an entry was replaced, if a higher incarnation shows it.
+        """Record that an entry was replaced, if its incarnation has risen.
 
-        An incarnation that said it had left has nothing running any more.
+        It doesn't count if the earlier incarnation announced that it had left, as then
+        nothing of it runs any more.
         """
         known = self.entries.get(name)
         if known is None or known.state is events.HostState.LEFT:
@@ -396,7 +447,7 @@
             self.replaced_at = now
 
     def live_entries(self):
-        """Return the entries that may be given to callers, this one included."""
+        """Return the entries in state `LIVE`, including this one."""
         if self._live_entries is None:
             self._live_entries = [
                 entry for entry in self.entries if entry.state is events.HostState.LIVE
@@ -404,7 +455,14 @@
         return self._live_entries
 
     def distance(self, data_centre):
-        """Return the rank of a data centre's distance: 0, 1 or 2."""
+        """Return how far a data centre is from this host's.
+
+        Returns
+        -------
+        distance : int
+            0 for the same data centre, 1 for another one of the region, 2 for another
+            region.
+        """
         if data_centre == self.me.data_centre:
             return 0
         region = self.region_by_data_centre.get(data_centre)
