--- a/packages/decide/sesamespindle/decide/world.py
+++ b/packages/decide/sesamespindle/decide/world.py
@@ -266,14 +266,14 @@
         """
         if self.reported_at is None:
             return sum(work.tokens for work in self.sent_by_request.values())
-        since = (now - self.reported_at).total_seconds()
-        left = max(0.0, self.reported_backlog - since * self.prefill_rate)
+        elapsed = (now - self.reported_at).total_seconds()
+        remaining = max(0.0, self.reported_backlog - elapsed * self.prefill_rate)
         added = sum(
             work.tokens
             for work in self.sent_by_request.values()
             if work.at > self.reported_at
         )
-        return left + added
+        return remaining + added
 
 
 @dataclasses.dataclass(slots=True)
@@ -351,7 +351,7 @@
         self.view = 0
         # Counts the placements by round-robin routing.
         self.turn = 0
-        self._out = []
+        self._emitted = []
         self._live_entries = None
         self._owner_by_account = {}
 
@@ -389,8 +389,8 @@
         listed for some heartbeats and would add the target back. A record of a later
         revision or incarnation isn't refuted.
         """
-        refuted, at = self._refuted_by_life.get(life, (0, now))
-        return now - at <= _REFUTED_FOR and revision <= refuted
+        refuted_revision, at = self._refuted_by_life.get(life, (0, now))
+        return now - at <= _REFUTED_FOR and revision <= refuted_revision
 
     @property
     def leaving(self):
@@ -399,17 +399,17 @@
 
     def emit(self, command):
         """Add a command to those that the current step returns."""
-        self._out.append(command)
+        self._emitted.append(command)
 
     def take_commands(self):
         """Return the commands emitted since the last call."""
-        out, self._out = self._out, []
-        return out
+        emitted, self._emitted = self._emitted, []
+        return emitted
 
     def put_entry(self, row):
         """Add an entry, or replace its row."""
         known = self.entries.get(row.name)
-        if known is not None and _standing(known) == _standing(row):
+        if known is not None and _identity_of(known) == _identity_of(row):
             known.heartbeat = row.heartbeat
             known.heard_at = row.heard_at
             known.revision = row.revision
@@ -470,5 +470,5 @@
         return 1 if region == here else 2
 
 
-def _standing(row):
+def _identity_of(row):
     return row.incarnation, row.state, row.url, row.peer_address, row.data_centre
