--- a/packages/decide/sesamespindle/decide/commands.py
+++ b/packages/decide/sesamespindle/decide/commands.py
@@ -1,4 +1,4 @@
-"""What a daemon is to do, as frozen records from `core.Core.step`."""
+"""The commands that `core.Core.step` returns, as frozen records."""
 
 import dataclasses
 import datetime
@@ -8,14 +8,14 @@
 
 
 class Outcome(enum.StrEnum):
-    """What a refused caller may rely on."""
+    """Whether a refused request has run, as far as a caller can rely on it."""
 
     NOT_RUN = "not_run"
     UNKNOWN = "unknown"
 
 
 class Code(enum.StrEnum):
-    """Why a request was refused."""
+    """The reason why a request was refused."""
 
     UNKNOWN_MODEL = "unknown_model"
     UNKNOWN_POOL = "unknown_pool"
@@ -48,8 +48,14 @@
 
     Attributes
     ----------
+    priority : int
+        The weight in queues, 1 to 10.
+    salt : str
+        The cache salt, made for `version`.
     version : str
-        The weight version that must answer, which `salt` is made for.
+        The weight version that must answer.
+    store_url : str
+        The address of a store host from which to import KV cache; may be empty.
     """
 
     request_id: str
@@ -64,7 +70,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ResumeStream:
-    """Read on from the same stream at the same target."""
+    """Resume reading the same stream at the same target.
+
+    Attributes
+    ----------
+    pause : datetime.timedelta
+        How long to wait first.
+    """
 
     request_id: str
     attempt: int
@@ -75,7 +87,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SendCall:
-    """Make a call at a plain service, over a connection of its own."""
+    """Send a call to a plain service, over a separate connection."""
 
     request_id: str
     attempt: int
@@ -85,12 +97,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refuse:
-    """Give the caller its final answer, now.
+    """Refuse a request; this is the caller's final answer.
 
     Attributes
     ----------
+    code : Code
+        Why it is refused.
+    outcome : Outcome
+        Whether it has run.
+    message : str
+        The reason in words.
     retry_after : datetime.timedelta or None
-        When to come back; None where that would not help.
+        When to try again; None if that would not help.
     """
 
     request_id: str
@@ -102,7 +120,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReplyStored:
-    """Give the caller the answer of the first run."""
+    """Give the caller the stored answer of a call.
+
+    Attributes
+    ----------
+    replayed : bool
+        Whether an earlier request with the same key got the answer.
+    """
 
     request_id: str
     answer: events.StoredAnswer
@@ -111,7 +135,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TakeClaim:
-    """Write a claim: create it, or replace the version that was read."""
+    """Write a claim to the platform.
+
+    Attributes
+    ----------
+    replaces : int
+        The object version to replace; 0 to create the claim.
+    """
 
     request_id: str
     account: str
@@ -122,15 +152,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SettleClaim:
-    """Write how the claimed run ended.
+    """Write to the claim how its run ended.
 
     Attributes
     ----------
     request_id : str
-        For the log only.
+        Used for the log only.
     replaces : int
-        The version to replace; 0 where it isn't known whether the claim was
-        written. Then it is written so that a late write can't take effect.
+        The object version to replace; 0 if it isn't known whether the claim was
+        written. In that case a claim is created, so that a delayed first write can't
+        take effect any more.
     """
 
     request_id: str
@@ -142,7 +173,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Note:
-    """Something for the time line."""
+    """An entry for the event log, which operators read as a time line."""
 
     kind: str
     subject: str
@@ -151,7 +182,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GossipTo:
-    """Send our half of a round to a peer."""
+    """Start a gossip exchange with a peer by sending it this host's message."""
 
     peer_address: str
     message: gossip.GossipMessage
@@ -159,7 +190,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GossipReply:
-    """Answer a peer's half of a round."""
+    """Answer a peer's gossip message."""
 
     exchange_id: str
     message: gossip.GossipMessage
@@ -167,7 +198,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FetchDeclarations:
-    """Get a higher revision from a peer that has it in force."""
+    """Fetch declarations of a higher revision from a peer that has it active."""
 
     peer_address: str
     above_revision: int
@@ -175,7 +206,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadAgain:
-    """Read a kind of object anew, since a peer saw a later change of it."""
+    """Read a kind of platform object again, as a peer has seen a later change of it."""
 
     kind: str
     revision: int
@@ -184,7 +215,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AskSlices:
-    """Ask an account owner for slices."""
+    """Ask an owner for slices of accounts' limits.
+
+    Attributes
+    ----------
+    sequence : int
+        Rises with every message of this incarnation.
+    """
 
     peer_address: str
     sequence: int
@@ -193,7 +230,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GrantSlices:
-    """Answer an entry that asked for slices."""
+    """Answer an entry that has asked for slices."""
 
     exchange_id: str
     grants: tuple[events.SliceGrant, ...]
@@ -201,7 +238,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AskHoldings:
-    """Ask an entry what it holds of accounts that this daemon now owns."""
+    """Ask an entry which slices it holds of accounts that this daemon owns now."""
 
     entry: str
     peer_address: str
@@ -210,7 +247,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TellHoldings:
-    """Answer a new owner."""
+    """Answer a new owner that has asked which slices this entry holds.
+
+    Attributes
+    ----------
+    settled : bool
+        See `events.HoldingsTold`.
+    """
 
     exchange_id: str
     holdings: tuple[events.SliceAsk, ...]
--- a/packages/decide/sesamespindle/decide/events.py
+++ b/packages/decide/sesamespindle/decide/events.py
@@ -1,4 +1,4 @@
-"""What can happen to a daemon, as frozen records for `core.Core.step`."""
+"""The events that `core.Core.step` handles, as frozen records."""
 
 import dataclasses
 import datetime
@@ -8,7 +8,7 @@
 
 
 class HostState(enum.StrEnum):
-    """Whether a host may get new work."""
+    """The membership state of a host, which decides whether it gets new work."""
 
     LIVE = "live"
     SUSPECT = "suspect"
@@ -19,18 +19,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Host:
-    """A host as the platform's list or a peer shows it.
+    """A host as the platform's list or a peer describes it.
 
     Attributes
     ----------
     role : str
         ``entry``, ``engine``, ``service`` or ``store_host``.
     url : str
-        Where callers or requests go.
+        The address for callers of an entry, or for requests to a target.
     peer_address : str
-        Where peers go, for entries.
+        The address for peers; of entries only.
+    admin_url : str
+        The address of the operators' interface; of entries only.
     incarnation : int
-        Milliseconds since the epoch at the start of the process, for entries.
+        When the process started, in milliseconds since the epoch; of entries only.
     """
 
     name: str
@@ -45,12 +47,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tick:
-    """Time has passed."""
+    """Periodic work is due."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DeclarationsAdopted:
-    """A revision is known to be in force; lower ones are ignored."""
+    """A revision of the declarations is active; lower revisions are ignored."""
 
     revision: int
     declarations: declared.Declarations
@@ -58,30 +60,34 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HostsListed:
-    """The platform's list, which lags."""
+    """The platform's list of hosts, which lags."""
 
     hosts: tuple[Host, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetLeaving:
-    """A target must get no new work, whatever the list says."""
+    """A target must get no new work, even if the host list has it as live."""
 
     name: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadReported:
-    """A target's load, which lags.
+    """A load report of a target, which lags.
 
     Attributes
     ----------
     as_of : datetime.datetime
-        When the target took the figures, by this daemon's clock.
+        When the target took the report, by this daemon's clock.
     backlog_tokens : int
-        Prompt tokens that wait to be processed.
+        The prompt tokens that wait for prefill.
+    running : int
+        The requests that run at the target.
     prefill_rate : float
-        Prompt tokens a second.
+        The prefill rate, in prompt tokens per second.
+    version : str
+        The weight version that the target runs.
     """
 
     target: str
@@ -94,7 +100,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StreamPosition:
-    """How far a caller has read a stream that another entry began."""
+    """How far a caller has read a stream that another entry started.
+
+    Attributes
+    ----------
+    delivered : int
+        The tokens that the caller has received.
+    """
 
     target: str
     version: str
@@ -103,18 +115,23 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PromptArrived:
-    """A caller wants an answer from a model.
+    """A caller has sent a prompt.
 
     Attributes
     ----------
     text : str
-        The rendered prompt, for the identity of its blocks.
+        The rendered prompt, from which its cache blocks are identified.
+    tokens : int
+        The prompt tokens.
+    answer_tokens : int
+        The tokens that the answer may have.
     cache_hint : str
         The caller's name for the context; may be empty.
     resume : StreamPosition or None
-        Where to read on, for a caller whose entry died.
+        The position from which to resume, for a caller whose entry died.
     content : bytes or None
-        From `fingerprints.of_content`.
+        The digest from `fingerprints.of_content`; None if the complete body isn't
+        available.
     """
 
     request_id: str
@@ -130,7 +147,10 @@
 
 
 class KeyKind(enum.Enum):
-    """How a call to a plain service is kept from running twice."""
+    """The kind of idempotency key of a call to a plain service.
+
+    `CALLER` is a key that the caller chose, `TICKET` one that an entry issued.
+    """
 
     NONE = "none"
     CALLER = "caller"
@@ -139,12 +159,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallArrived:
-    """A caller wants a call made to a plain service.
+    """A caller has sent a call for a plain service.
 
     Attributes
     ----------
+    key : str
+        The idempotency key; empty for `KeyKind.NONE`.
     fingerprint : str
-        A hash of pool, path and body, which a repeat must match.
+        A hash of pool, path and body. A later call with the same key must match it.
+    repeatable : bool
+        Whether the call is idempotent, so that it may be retried after a lost answer.
     """
 
     request_id: str
@@ -159,14 +183,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerLeft:
-    """The caller closed its connection, or has its answer."""
+    """The caller has disconnected, or has received its answer."""
 
     request_id: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FirstToken:
-    """A prompt's first token came from the target."""
+    """The target has returned the first token of a prompt.
+
+    Attributes
+    ----------
+    reused_tokens : int
+        The prompt tokens that the target had in its KV cache.
+    computed_tokens : int
+        The prompt tokens that the target prefilled.
+    """
 
     request_id: str
     reused_tokens: int
@@ -186,14 +218,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt is over.
+    """An attempt at a target has ended.
 
     Attributes
     ----------
     ending : Ending
-        `NOT_SENT` only when no byte of the request can have left.
+        `NOT_SENT` only if no byte of the request can have left this host.
     delivered : int
-        Tokens that the caller has.
+        The tokens that the caller has received.
+    retry_after : datetime.timedelta or None
+        The retry delay that the target gave.
     """
 
     request_id: str
@@ -205,7 +239,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoredAnswer:
-    """The answer of a plain service, as it is kept for repeats."""
+    """The answer of a plain service, stored for repeated calls with its key."""
 
     status: int
     content_type: str
@@ -214,7 +248,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallAnswered:
-    """A plain service answered."""
+    """A plain service has answered a call."""
 
     request_id: str
     attempt: int
@@ -222,7 +256,7 @@
 
 
 class ClaimState(enum.StrEnum):
-    """What is known of the run that a claim stands for."""
+    """What is known of the run that a claim protects."""
 
     RUNNING = "running"
     DONE = "done"
@@ -232,7 +266,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Claim:
-    """A durable record that one entry alone may run a call."""
+    """The durable idempotency record of a key: only its entry may run the call.
+
+    Attributes
+    ----------
+    entry, incarnation : str, int
+        The entry that holds the claim.
+    nonce : str
+        Tells the claims of different runs with the same key apart.
+    fingerprint : str
+        From `CallArrived`.
+    answer : StoredAnswer or None
+        The answer of a run that is `ClaimState.DONE`.
+    """
 
     entry: str
     incarnation: int
@@ -245,7 +291,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimTaken:
-    """The claim is ours, at this version of the object."""
+    """The claim of this entry was written, as this version of the platform object."""
 
     request_id: str
     version: int
@@ -253,7 +299,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimFound:
-    """Another run has the claim."""
+    """The claim was not written, as there is one already, at this object version."""
 
     request_id: str
     version: int
@@ -262,31 +308,31 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimFailed:
-    """The platform is away, so that no claim could be made sure."""
+    """The platform is unavailable, so it isn't known whether the claim was written."""
 
     request_id: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ends:
-    """All in flight gets its final answer now, and nothing more is taken."""
+    """The daemon ends: requests in flight get final answers, new ones are refused."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HasLeft:
-    """All in flight is finished, and the daemon ends."""
+    """All requests in flight are finished, and the daemon ends."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaveAsked:
-    """An operator or the host wants this daemon to leave.
+    """An operator or the host has asked this daemon to leave.
 
     Attributes
     ----------
     ends_at : datetime.datetime
-        When it ends at the latest.
+        When the daemon ends at the latest.
     asked_at : datetime.datetime or None
-        When the order came, at the earliest; None for now.
+        The earliest time at which the daemon can have been asked; None for now.
     """
 
     ends_at: datetime.datetime
@@ -294,7 +340,7 @@
 
 
 class Resource(enum.IntEnum):
-    """What of an account's contract is cut into slices."""
+    """The limits of an account's contract that are divided into slices."""
 
     PROMPTS = 0
     CALLS = 1
@@ -302,14 +348,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SliceAsk:
-    """What an entry uses and wants of an account's limit.
+    """An entry's use of an account's limit, and its request for a slice of it.
 
     Attributes
     ----------
+    in_use : int
+        The slots that requests at the entry use.
+    wanted : int
+        The slots that the entry asks for in all.
     held : int
-        The slots that it may use now.
+        The slots that the entry may use now.
     grant : int
-        The number of the grant that they came with; 0 for none.
+        The number of the grant that `held` came with; 0 for none.
     """
 
     account: str
@@ -322,12 +372,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SlicesAsked:
-    """An entry asks this daemon; a `commands.GrantSlices` follows.
+    """An entry asks this daemon for slices; a `commands.GrantSlices` follows.
 
     Attributes
     ----------
     sequence : int
-        Rises with every ask of the entry's incarnation.
+        Rises with every message of the entry's incarnation.
     """
 
     exchange_id: str
@@ -339,7 +389,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SliceGrant:
-    """The slots that an entry may use for one grant lifetime."""
+    """The slots that an entry may use for one grant lifetime.
+
+    Attributes
+    ----------
+    grant : int
+        The number of the grant; 0 if nothing is granted.
+    """
 
     account: str
     resource: Resource
@@ -349,7 +405,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SlicesGranted:
-    """The owner's answer to asks that were sent at `asked_at`."""
+    """The owner has answered the asks that were sent at `asked_at`."""
 
     asked_at: datetime.datetime
     asks: tuple[SliceAsk, ...]
@@ -358,15 +414,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HoldingsTold:
-    """What an entry holds of accounts whose owner this daemon has become.
+    """An entry has answered which slices it holds of accounts that are owned here now.
 
     Attributes
     ----------
     accounts : tuple of str
-        The accounts that were asked for; the entry holds nothing more of them.
+        The accounts that were asked for; `holdings` is complete for them.
+    holdings : tuple of SliceAsk
+        The slices that the entry holds.
     settled : bool
-        Whether the entry knows of no other that was replaced so lately that
-        slices of its earlier incarnation may still be in use.
+        False if the entry knows of an entry that was replaced so recently that slices
+        of the earlier incarnation may still be in use.
     """
 
     entry: str
@@ -378,7 +436,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HoldingsAsked:
-    """A new owner asks; a `commands.TellHoldings` follows."""
+    """A new owner asks which slices this entry holds.
+
+    A `commands.TellHoldings` follows.
+    """
 
     exchange_id: str
     owner: str
