--- a/packages/decide/sesamespindle/decide/catalogue.py
+++ b/packages/decide/sesamespindle/decide/catalogue.py
@@ -1,27 +1,34 @@
-"""Keeping the tables in step with declarations and the host list."""
+"""Updates of the shared tables from declarations, host lists and load reports."""
 
 import dataclasses
 import datetime
 
 from sesamespindle.decide import commands, events, world
 
+# How long a target is ejected after its first failure.
 _SHUN = datetime.timedelta(milliseconds=500)
 _MAX_SHUN_DOUBLINGS = 5
 
 
 class Catalogue:
-    """Adopts declarations and hosts, and remembers which targets fail."""
+    """Adopts declarations, listed hosts and load reports into the shared tables.
+
+    Parameters
+    ----------
+    state : world.World
+        The shared tables.
+    """
 
     def __init__(self, state):
         self._state = state
 
     def adopt(self, event):
-        """Put a higher revision in force.
+        """Activate a revision of the declarations, if it is higher than the active one.
 
-        Guards against an old read of the platform, or a stale peer, taking a
-        change back: a revision that is not higher than the one in force is
-        ignored, and revisions are never taken from anywhere but the head
-        object, whose number only rises.
+        Guards against a stale read of the platform, or a stale peer, that reverts a
+        change, so that an account may do what its contract no longer allows. Other
+        revisions are ignored, and revision numbers come only from the head object,
+        whose number only rises.
         """
         state = self._state
         if event.revision <= state.revision:
@@ -75,7 +82,7 @@
             )
 
     def list_hosts(self, event, now):
-        """Take in the platform's list, which may lag."""
+        """Adopt the platform's list of hosts, which may lag."""
         state = self._state
         state.knows_entries = True
         listed_names = set()
@@ -90,7 +97,7 @@
                 row.listed = False
 
     def list_entries(self, hosts, now):
-        """Take in entry hosts only; what is known of targets stays."""
+        """Adopt a list of entry hosts; targets don't change."""
         self._state.knows_entries = True
         for host in hosts:
             self._list_entry(host, now)
@@ -109,7 +116,10 @@
             self.leave(host.name)
 
     def _list_entry(self, host, now):
-        """Add an entry that gossip hasn't shown yet; gossip knows the rest."""
+        """Add an entry, or a new incarnation of one, that gossip hasn't announced yet.
+
+        Gossip is more recent for the entries that it has announced.
+        """
         entries = self._state.entries
         known = entries.get(host.name)
         if known is not None and known.incarnation >= host.incarnation:
@@ -128,7 +138,7 @@
         )
 
     def leave(self, name):
-        """Give a target no new work from now on."""
+        """Mark a target as leaving, so that it gets no new work."""
         row = self._state.targets.get(name)
         if row is None or row.leaving:
             return
@@ -136,7 +146,11 @@
         self._state.emit(commands.Note("target_leaving", name))
 
     def report_load(self, event):
-        """Take in a load report, unless an older one overtook it."""
+        """Adopt a load report, unless a later one was adopted before.
+
+        Guards against reports that arrive out of order, so that the older one hides a
+        queue at the target.
+        """
         row = self._state.targets.get(event.target)
         if row is None:
             return
@@ -149,7 +163,7 @@
 
 
 def note_failure(state, row, now):
-    """Keep new work from a target that has just failed, for a growing time."""
+    """Eject a target that has just failed; the time doubles with each failure."""
     row.failures += 1
     doublings = min(row.failures - 1, _MAX_SHUN_DOUBLINGS)
     row.shunned_until = now + _SHUN * 2**doublings
@@ -157,7 +171,7 @@
 
 
 def note_success(row):
-    """Forget a target's failures."""
+    """Reset a target's failures and end its ejection."""
     row.failures = 0
     row.shunned_until = None
 
@@ -172,7 +186,7 @@
 
 
 def me_as_entry(me):
-    """Return the row of this daemon itself."""
+    """Return the entry row of this daemon, from its `events.Host`."""
     fields = dataclasses.asdict(me)
     del fields["role"]
     return world.EntryRow(**fields)
--- a/packages/decide/sesamespindle/decide/sliceholder.py
+++ b/packages/decide/sesamespindle/decide/sliceholder.py
@@ -6,22 +6,36 @@
 
 from sesamespindle.decide import commands, events, slices, tables
 
+# A slice is renewed when less than this fraction of its grant lifetime remains.
 _RENEW_AT = 0.5
+# An unused slice is dropped this long after a request last needed it.
 _IDLE_KEPT_FOR = datetime.timedelta(seconds=30)
-# An ask without an answer for this long is taken for lost.
+# An ask is considered lost if it is not answered for this long.
 _ASK_TIMEOUT = datetime.timedelta(milliseconds=300)
 
 
 @dataclasses.dataclass(slots=True)
 class HeldRow:
-    """A slice that this entry holds, with the grant it came by.
+    """A slice that this entry holds, with its grant.
 
     Attributes
     ----------
+    key : tuple of (str, events.Resource)
+        The account and the resource.
+    slots : int
+        The slots that requests may use until `expires_at`.
+    grant : int
+        The number of the grant; 0 before the first.
+    expires_at : datetime.datetime or None
+        When the grant expires; None before the first.
+    asked_at : datetime.datetime or None
+        When the owner was first asked.
+    needed_at : datetime.datetime or None
+        When a request last needed the slice.
     pending_since : datetime.datetime or None
-        When an ask was sent that has no answer yet.
+        When the latest ask was sent; None if it was answered.
     limited : bool
-        Whether the last grant was smaller than what was asked for.
+        Whether the last grant was smaller than asked for.
     """
 
     key: tuple[str, events.Resource]
@@ -35,15 +49,15 @@
 
 
 class SliceHolder:
-    """Asks owners for slices, and tells how many requests may run here.
+    """Asks owners for slices, and limits how many requests may run on this entry.
 
     Parameters
     ----------
     state : world.World
         The shared tables.
     usage : callable
-        What an account uses and would use here: (in use, waiting), by the
-        account's name and a resource.
+        Takes an account's name and a resource. Returns the numbers of the account's
+        requests that run and that wait here.
     """
 
     def __init__(self, state, usage):
@@ -55,7 +69,8 @@
     def slots(self, account, resource, now):
         """Return how many requests of an account may run here now.
 
-        Without an owner's slice this is the account's fallback share.
+        This is the slice from the owner. If no owner has answered for long enough, it
+        is the fallback share.
         """
         row = self.held.get((account.name, resource))
         if row is None:
@@ -68,14 +83,17 @@
         return slices.fallback_share(self._state, limit)
 
     def prospect(self, account, resource, now):
-        """Return how many slots an account may expect here after asking."""
+        """Return how many slots an account may expect here once the owner is asked.
+
+        This is the whole limit, unless the last grant was smaller than asked for.
+        """
         row = self.held.get((account.name, resource))
         if row is None or not row.limited:
             return slices.limit_of(account.contract, resource)
         return self.slots(account, resource, now)
 
     def need(self, account, resource, now):
-        """Ask the owner now, where the slice held is too small for a request."""
+        """Ask the owner at once if the slice is too small for the requests here."""
         row = self._held(account, resource)
         row.needed_at = now
         if not self._is_enough(row, now) and not _is_pending(row, now):
@@ -88,10 +106,10 @@
             self.held.remove(row.key)
 
     def granted(self, event, now):
-        """Use the slices that an owner gave, and ask for more where needed.
+        """Use the slices that an owner granted, and ask for larger ones if needed.
 
-        What arrived since the ask was sent is asked for now, in one ask for
-        all of it.
+        Requests may have arrived since the ask was sent. A single new ask covers all of
+        them.
         """
         wanted_by_key = {(ask.account, ask.resource): ask.wanted for ask in event.asks}
         for key in wanted_by_key:
@@ -100,8 +118,8 @@
         used = [
             self._use(event.asked_at, grant, wanted_by_key) for grant in event.grants
         ]
-        # Only after a real grant: an owner that grants nothing yet, or isn't the
-        # owner any more, would be asked again without end.
+        # Ask again only after a grant. An owner that grants nothing yet, or is no
+        # longer the owner, would otherwise be asked in an endless loop.
         short = [
             row
             for row in used
@@ -110,12 +128,12 @@
         self._ask(short, now)
 
     def holding(self, key, now):
-        """Return what is held of one account's limit as an ask, or None."""
+        """Return the slice held for a key as a `events.SliceAsk`, or None."""
         row = self.held.get(key)
         return self._ask_of(row, now) if row is not None else None
 
     def tell(self, event, now):
-        """Tell a new owner what this entry holds."""
+        """Answer a new owner with the slices that this entry holds."""
         holdings = [
             self._ask_of(row, now) for row in self.held if row.key[0] in event.accounts
         ]
@@ -127,7 +145,7 @@
         )
 
     def _use(self, asked_at, grant, wanted_by_key):
-        """Use a grant and return its row, or None where there is nothing to use."""
+        """Use a grant and return its row, or None if the grant is empty or outdated."""
         row = self.held.get((grant.account, grant.resource))
         if row is None or not grant.grant:
             return None
@@ -149,7 +167,11 @@
         return row
 
     def _is_without_owner(self, row, now):
-        """Return whether no owner has answered for longer than any would need."""
+        """Return whether owners have not answered for so long that none is reachable.
+
+        This is so once the last slice has expired for the owner too, or, before the
+        first grant, two grant lifetimes after the first ask.
+        """
         if row.expires_at is not None:
             return now - row.expires_at > slices.OWNER_MARGIN
         longest = 2 * self._state.policy.grant_lifetime
--- a/packages/decide/sesamespindle/decide/sliceowner.py
+++ b/packages/decide/sesamespindle/decide/sliceowner.py
@@ -1,19 +1,30 @@
-"""The slices of accounts' limits that this entry gives as their owner."""
+"""The slices of accounts' limits that this entry grants as their owner."""
 
 import dataclasses
 import datetime
 
 from sesamespindle.decide import commands, events, slices, tables
 
-# Stands among the unlearned entries for one that can't be asked: the earlier
-# incarnation of some entry, or an entry that this daemon hasn't heard of yet.
+# A placeholder in `OwnedRow.unlearned` for a holder that can't be asked: an earlier
+# incarnation of an entry, or an entry that this daemon doesn't know yet.
 _UNKNOWN = ""
+# The longest time that an ask waits until the owner knows the slices in use.
 _WAITED_FOR_LEARNING = datetime.timedelta(milliseconds=400)
 
 
 @dataclasses.dataclass(slots=True)
 class Promise:
-    """Slots that an entry may use until a time, by the number of their grant."""
+    """A grant that an entry may use until it expires.
+
+    Attributes
+    ----------
+    grant : int
+        The number of the grant.
+    slots : int
+        The slots granted.
+    expires_at : datetime.datetime
+        Until when the owner counts them.
+    """
 
     grant: int
     slots: int
@@ -22,13 +33,19 @@
 
 @dataclasses.dataclass(slots=True)
 class GivenSlice:
-    """What this owner gave to an entry, or learned that it holds.
+    """The slice of an entry, granted by this owner or reported by the entry.
 
     Attributes
     ----------
+    in_use : int
+        The slots that the entry used at its last ask.
+    wanted : int
+        The slots that the entry last asked for.
+    sequence : int
+        The number of its last ask.
     promises : list of Promise
-        Grants that the entry may act on: the latest, and those before it that
-        the entry has not yet shown to have replaced.
+        The grants that the entry may be using: the latest one, and earlier ones until
+        the entry acknowledges a later one.
     """
 
     in_use: int
@@ -37,16 +54,18 @@
     promises: list[Promise]
 
     def counted(self, now):
-        """Return the slots that the entry may be using.
+        """Return the most slots that the entry may be using.
 
-        Guards against a smaller grant whose message is lost: the entry goes on
-        with the larger one before it, until that runs out.
+        Guards against a smaller grant whose message is lost. The entry goes on using
+        the larger grant before it until that expires, and together with a slice made of
+        the difference it would exceed the limit. So the largest grant that is neither
+        expired nor replaced counts.
         """
         promised = [item.slots for item in self.promises if item.expires_at > now]
         return max([self.in_use, *promised])
 
     def lasts(self, now):
-        """Return whether any grant has not run out."""
+        """Return whether any grant has not expired."""
         return any(item.expires_at > now for item in self.promises)
 
     def promise(self, promise):
@@ -54,23 +73,25 @@
         self.promises.append(promise)
 
     def acknowledge(self, grant):
-        """Drop the grants before one that the entry shows to act on."""
+        """Drop the grants before the one that the entry says it uses."""
         self.promises = [item for item in self.promises if item.grant >= grant]
 
 
 @dataclasses.dataclass(slots=True)
 class OwnedRow:
-    """An account's limit as its owner has cut it.
+    """An account's limit, with the slices that its owner has granted.
 
     Attributes
     ----------
+    key : tuple of (str, events.Resource)
+        The account and the resource.
     unlearned : set of str
-        Entries that may hold slices of an earlier owner.
-    given_by_holder : dict
-        Slices by name and incarnation of their holder. A new incarnation has
-        none of the old one's, which may still run at the targets.
+        Entries that may hold slices of an earlier owner and have not reported them.
     learned_at : datetime.datetime
-        When slices of an earlier owner have run out in any case.
+        When all slices of an earlier owner have expired in any case.
+    given_by_holder : dict
+        Slices by name and incarnation of their holder. A new incarnation doesn't take
+        over the slices of the old one, whose requests may still run at the targets.
     """
 
     key: tuple[str, events.Resource]
@@ -83,21 +104,27 @@
 
 @dataclasses.dataclass(slots=True)
 class WaitingAsk:
-    """Asks that are answered once the owner has learned what is out."""
+    """Asks that wait until the owner has learned which slices are in use.
+
+    Attributes
+    ----------
+    until : datetime.datetime
+        When they are answered in any case.
+    """
 
     event: events.SlicesAsked
     until: datetime.datetime
 
 
 class SliceOwner:
-    """Cuts the limits of the accounts that this entry owns.
+    """Divides the limits of the accounts that this entry owns into slices.
 
     Parameters
     ----------
     state : world.World
         The shared tables.
     holder : sliceholder.SliceHolder
-        What this entry holds itself.
+        The slices that this entry holds itself.
     """
 
     def __init__(self, state, holder):
@@ -109,13 +136,13 @@
         self._last_tick = None
 
     def tick(self, now):
-        """Answer asks that waited, and drop slices that have run out."""
+        """Answer waiting asks, and drop expired slices."""
         self._forget_after_pause(now)
         self._answer_waiting(now)
         self._drop_expired(now)
 
     def asked(self, event, now):
-        """Answer an entry, at once or when what is out has been learned."""
+        """Answer an entry's asks, at once or when the slices in use are known."""
         self._state.note_incarnation(event.entry, event.incarnation, now)
         holder = (event.entry, event.incarnation)
         for ask in event.asks:
@@ -126,7 +153,7 @@
         self._waiting_asks.append(WaitingAsk(event, now + _WAITED_FOR_LEARNING))
 
     def told(self, event, now):
-        """Count what an entry holds of an earlier owner's slices."""
+        """Count the slices of an earlier owner that an entry has reported."""
         holder = (event.entry, event.incarnation)
         for holding in event.holdings:
             row = self.owned.get((holding.account, holding.resource))
@@ -141,11 +168,12 @@
         self._answer_waiting(now)
 
     def _forget_after_pause(self, now):
-        """Forget what this owner gave if it was paused for long.
+        """Forget the granted slices after a long pause of this process.
 
-        Guards against an owner that was frozen while another took over: what
-        it gave has run out by its clock, and it would give the whole limit
-        again beside the new owner. It learns what is out first.
+        Guards against an owner that was paused while another entry took over, and that
+        then grants slices beside the new owner, so that both exceed the limit. By its
+        own clock its slices have expired and the whole limit is free. Without its rows
+        it learns first which slices are in use.
         """
         paused_for = now - (self._last_tick or now)
         self._last_tick = now
@@ -172,11 +200,12 @@
         row.unlearned.discard(holder[0])
 
     def _begin_owning(self, ask, now):
-        """Begin to own an account: learn what is out, or wait until it ran out.
+        """Add the row of an account that this entry has come to own.
 
-        Guards against two owners' slices adding up to more than the limit: an
-        earlier owner's slices are counted, and entries that can't be asked are
-        waited for as long as a slice can last.
+        Guards against slices of two owners that add up to more than the limit, so that
+        the targets get more than the contract allows. The new owner asks all entries
+        for the slices that they hold of an earlier owner, and counts them. If some
+        holder can't be asked, it waits until any slice must have expired.
         """
         state = self._state
         lifetime = state.policy.grant_lifetime
@@ -247,10 +276,11 @@
         limit = slices.limit_of(account.contract, ask.resource)
         given = row.given_by_holder[holder]
         if not ask.held and not self._is_learned(ask, now):
-            # No answer is better than "no slots": callers may wait for it.
+            # The holder ignores a grant with number 0, and its callers go on waiting.
+            # After a numbered grant of no slots it would refuse them.
             return events.SliceGrant(ask.account, ask.resource, 0, 0)
         if sequence < given.sequence:
-            # A later ask overtook this one, which tells of the past.
+            # A later ask arrived before this one, which is outdated.
             return events.SliceGrant(ask.account, ask.resource, 0, 0)
         if self._is_learned(ask, now):
             slots = self._fair_slots(row, holder, limit, now)
@@ -263,7 +293,11 @@
         return events.SliceGrant(ask.account, ask.resource, slots, self._next_grant)
 
     def _fair_slots(self, row, holder, limit, now):
-        """Return what an entry may have: its demand, or its share of the limit."""
+        """Return the slots for an entry: its demand, or its share of the limit.
+
+        If the demand of all entries exceeds the limit, shares are in proportion to
+        their demand. The result never exceeds the slots that are free.
+        """
         given = row.given_by_holder[holder]
         others = [
             other
@@ -275,13 +309,13 @@
         wanted = given.wanted + sum(other.wanted for other in others)
         share = given.wanted
         if wanted > limit:
-            # Rounded up, or what the shares leave over would be used by nobody
-            # while all wait; `free` keeps the sum within the limit.
+            # Round up: with shares rounded down, the remaining slots would stay unused
+            # while all entries wait. `free` keeps the sum within the limit.
             share = -(-limit * given.wanted // wanted)
         return min(given.wanted, share, free)
 
     def _reserve(self, row, limit):
-        """Return what entries that can't be reached may use as fallback."""
+        """Return the slots reserved for the fallback shares of unreachable entries."""
         unreachable = sum(
             entry.state in (events.HostState.SUSPECT, events.HostState.DEAD)
             for entry in self._state.entries
@@ -289,7 +323,7 @@
         return unreachable * slices.fallback_share(self._state, limit)
 
     def _drop_expired(self, now):
-        """Drop slices that have run out, with those of entries that are dead."""
+        """Drop expired slices, unless requests of a live holder may still run."""
         for row in list(self.owned):
             for holder, given in list(row.given_by_holder.items()):
                 if not given.lasts(now) and not self._may_still_run(holder, given):
