--- a/packages/decide/sesamespindle/decide/catalogue.py
+++ b/packages/decide/sesamespindle/decide/catalogue.py
@@ -6,8 +6,8 @@
 from sesamespindle.decide import commands, events, world
 
 # How long a target is ejected after its first failure.
-_SHUN = datetime.timedelta(milliseconds=500)
-_MAX_SHUN_DOUBLINGS = 5
+_FIRST_EJECTION = datetime.timedelta(milliseconds=500)
+_MAX_EJECTION_DOUBLINGS = 5
 
 
 class Catalogue:
@@ -165,8 +165,8 @@
 def note_failure(state, row, now):
     """Eject a target that has just failed; the time doubles with each failure."""
     row.failures += 1
-    doublings = min(row.failures - 1, _MAX_SHUN_DOUBLINGS)
-    row.shunned_until = now + _SHUN * 2**doublings
+    doublings = min(row.failures - 1, _MAX_EJECTION_DOUBLINGS)
+    row.shunned_until = now + _FIRST_EJECTION * 2**doublings
     state.emit(commands.Note("target_failed", row.name, f"{row.failures} in a row"))
 
 
--- a/packages/decide/sesamespindle/decide/sliceholder.py
+++ b/packages/decide/sesamespindle/decide/sliceholder.py
@@ -7,9 +7,9 @@
 from sesamespindle.decide import commands, events, slices, tables
 
 # A slice is renewed when less than this fraction of its grant lifetime remains.
-_RENEW_AT = 0.5
+_RENEW_BELOW = 0.5
 # An unused slice is dropped this long after a request last needed it.
-_IDLE_KEPT_FOR = datetime.timedelta(seconds=30)
+_IDLE_RETENTION = datetime.timedelta(seconds=30)
 # An ask is considered lost if it is not answered for this long.
 _ASK_TIMEOUT = datetime.timedelta(milliseconds=300)
 
@@ -64,7 +64,7 @@
         self._state = state
         self._usage = usage
         self.held: tables.Table[HeldRow] = tables.Table("key")
-        self._next_ask = 0
+        self._last_sequence = 0
 
     def slots(self, account, resource, now):
         """Return how many requests of an account may run here now.
@@ -75,7 +75,7 @@
         row = self.held.get((account.name, resource))
         if row is None:
             return 0
-        if _lasts(row, now):
+        if _is_valid(row, now):
             return row.slots
         if not self._is_without_owner(row, now):
             return 0
@@ -94,7 +94,7 @@
 
     def need(self, account, resource, now):
         """Ask the owner at once if the slice is too small for the requests here."""
-        row = self._held(account, resource)
+        row = self._row_of(account, resource)
         row.needed_at = now
         if not self._is_enough(row, now) and not _is_pending(row, now):
             self._ask([row], now)
@@ -116,7 +116,8 @@
             if key in self.held:
                 self.held.get(key).pending_since = None
         used = [
-            self._use(event.asked_at, grant, wanted_by_key) for grant in event.grants
+            self._apply_grant(event.asked_at, grant, wanted_by_key)
+            for grant in event.grants
         ]
         # Ask again only after a grant. An owner that grants nothing yet, or is no
         # longer the owner, would otherwise be asked in an endless loop.
@@ -130,12 +131,14 @@
     def holding(self, key, now):
         """Return the slice held for a key as a `events.SliceAsk`, or None."""
         row = self.held.get(key)
-        return self._ask_of(row, now) if row is not None else None
+        return self._make_ask(row, now) if row is not None else None
 
     def tell(self, event, now):
         """Answer a new owner with the slices that this entry holds."""
         holdings = [
-            self._ask_of(row, now) for row in self.held if row.key[0] in event.accounts
+            self._make_ask(row, now)
+            for row in self.held
+            if row.key[0] in event.accounts
         ]
         self._state.note_incarnation(event.owner, event.owner_incarnation, now)
         self._state.emit(
@@ -144,7 +147,7 @@
             )
         )
 
-    def _use(self, asked_at, grant, wanted_by_key):
+    def _apply_grant(self, asked_at, grant, wanted_by_key):
         """Use a grant and return its row, or None if the grant is empty or outdated."""
         row = self.held.get((grant.account, grant.resource))
         if row is None or not grant.grant:
@@ -158,7 +161,7 @@
         row.expires_at = expires_at
         return row
 
-    def _held(self, account, resource):
+    def _row_of(self, account, resource):
         key = (account, resource)
         row = self.held.get(key)
         if row is None:
@@ -179,7 +182,7 @@
 
     def _is_enough(self, row, now):
         in_use, waiting = self._usage(*row.key)
-        return _lasts(row, now) and in_use + waiting <= row.slots
+        return _is_valid(row, now) and in_use + waiting <= row.slots
 
     def _is_due(self, row, now):
         if row.expires_at is None:
@@ -187,26 +190,26 @@
         left = row.expires_at - now
         in_use, waiting = self._usage(*row.key)
         lifetime = self._state.policy.grant_lifetime
-        return left < lifetime * _RENEW_AT or in_use + waiting > row.slots
+        return left < lifetime * _RENEW_BELOW or in_use + waiting > row.slots
 
     def _is_idle(self, row, now):
         in_use, waiting = self._usage(*row.key)
         if in_use or waiting:
             return False
-        return row.needed_at is None or now - row.needed_at > _IDLE_KEPT_FOR
+        return row.needed_at is None or now - row.needed_at > _IDLE_RETENTION
 
-    def _ask_of(self, row, now):
+    def _make_ask(self, row, now):
         account_name, resource = row.key
         in_use, waiting = self._usage(account_name, resource)
-        lasts = _lasts(row, now)
+        is_valid = _is_valid(row, now)
         wanted = in_use + waiting + max(1, in_use // 4)
         return events.SliceAsk(
             account_name,
             resource,
             in_use,
             wanted,
-            row.slots if lasts else 0,
-            row.grant if lasts else 0,
+            row.slots if is_valid else 0,
+            row.grant if is_valid else 0,
         )
 
     def _ask(self, rows, now):
@@ -215,15 +218,17 @@
             owner = self._state.owner(row.key[0])
             if owner is not None:
                 row.asked_at = row.asked_at or now
-                ask = self._ask_of(row, now)
+                ask = self._make_ask(row, now)
                 row.pending_since = now
                 asks_by_address[owner.peer_address].append(ask)
         for address, asks in asks_by_address.items():
-            self._next_ask += 1
-            self._state.emit(commands.AskSlices(address, self._next_ask, tuple(asks)))
+            self._last_sequence += 1
+            self._state.emit(
+                commands.AskSlices(address, self._last_sequence, tuple(asks))
+            )
 
 
-def _lasts(row, now):
+def _is_valid(row, now):
     return row.expires_at is not None and now < row.expires_at
 
 
--- a/packages/decide/sesamespindle/decide/sliceowner.py
+++ b/packages/decide/sesamespindle/decide/sliceowner.py
@@ -5,20 +5,20 @@
 
 from sesamespindle.decide import commands, events, slices, tables
 
-# A placeholder in `OwnedRow.unlearned` for a holder that can't be asked: an earlier
+# A placeholder in `OwnedRow.unreported` for a holder that can't be asked: an earlier
 # incarnation of an entry, or an entry that this daemon doesn't know yet.
-_UNKNOWN = ""
+_UNKNOWN_HOLDER = ""
 # The longest time that an ask waits until the owner knows the slices in use.
-_WAITED_FOR_LEARNING = datetime.timedelta(milliseconds=400)
+_MAX_ASK_WAIT = datetime.timedelta(milliseconds=400)
 
 
 @dataclasses.dataclass(slots=True)
-class Promise:
+class OutstandingGrant:
     """A grant that an entry may use until it expires.
 
     Attributes
     ----------
-    grant : int
+    number : int
         The number of the grant.
     slots : int
         The slots granted.
@@ -26,13 +26,13 @@
         Until when the owner counts them.
     """
 
-    grant: int
+    number: int
     slots: int
     expires_at: datetime.datetime
 
 
 @dataclasses.dataclass(slots=True)
-class GivenSlice:
+class GrantedSlice:
     """The slice of an entry, granted by this owner or reported by the entry.
 
     Attributes
@@ -43,7 +43,7 @@
         The slots that the entry last asked for.
     sequence : int
         The number of its last ask.
-    promises : list of Promise
+    outstanding_grants : list of OutstandingGrant
         The grants that the entry may be using: the latest one, and earlier ones until
         the entry acknowledges a later one.
     """
@@ -51,9 +51,9 @@
     in_use: int
     wanted: int
     sequence: int
-    promises: list[Promise]
+    outstanding_grants: list[OutstandingGrant]
 
-    def counted(self, now):
+    def counted_slots(self, now):
         """Return the most slots that the entry may be using.
 
         Guards against a smaller grant whose message is lost. The entry goes on using
@@ -61,20 +61,24 @@
         the difference it would exceed the limit. So the largest grant that is neither
         expired nor replaced counts.
         """
-        promised = [item.slots for item in self.promises if item.expires_at > now]
-        return max([self.in_use, *promised])
+        slots = [
+            item.slots for item in self.outstanding_grants if item.expires_at > now
+        ]
+        return max([self.in_use, *slots])
 
-    def lasts(self, now):
+    def is_valid(self, now):
         """Return whether any grant has not expired."""
-        return any(item.expires_at > now for item in self.promises)
+        return any(item.expires_at > now for item in self.outstanding_grants)
 
-    def promise(self, promise):
+    def add_grant(self, grant):
         """Add a grant."""
-        self.promises.append(promise)
+        self.outstanding_grants.append(grant)
 
     def acknowledge(self, grant):
         """Drop the grants before the one that the entry says it uses."""
-        self.promises = [item for item in self.promises if item.grant >= grant]
+        self.outstanding_grants = [
+            item for item in self.outstanding_grants if item.number >= grant
+        ]
 
 
 @dataclasses.dataclass(slots=True)
@@ -85,25 +89,25 @@
     ----------
     key : tuple of (str, events.Resource)
         The account and the resource.
-    unlearned : set of str
+    unreported : set of str
         Entries that may hold slices of an earlier owner and have not reported them.
-    learned_at : datetime.datetime
+    all_expired_at : datetime.datetime
         When all slices of an earlier owner have expired in any case.
-    given_by_holder : dict
+    slice_by_holder : dict
         Slices by name and incarnation of their holder. A new incarnation doesn't take
         over the slices of the old one, whose requests may still run at the targets.
     """
 
     key: tuple[str, events.Resource]
-    unlearned: set[str]
-    learned_at: datetime.datetime
-    given_by_holder: dict[tuple[str, int], GivenSlice] = dataclasses.field(
+    unreported: set[str]
+    all_expired_at: datetime.datetime
+    slice_by_holder: dict[tuple[str, int], GrantedSlice] = dataclasses.field(
         default_factory=dict
     )
 
 
 @dataclasses.dataclass(slots=True)
-class WaitingAsk:
+class WaitingAsks:
     """Asks that wait until the owner has learned which slices are in use.
 
     Attributes
@@ -147,24 +151,24 @@
         holder = (event.entry, event.incarnation)
         for ask in event.asks:
             self._note_ask(holder, event.sequence, ask, now)
-        if all(self._is_learned(ask, now) for ask in event.asks):
+        if all(self._is_known(ask, now) for ask in event.asks):
             self._grant(event, now)
             return
-        self._waiting_asks.append(WaitingAsk(event, now + _WAITED_FOR_LEARNING))
+        self._waiting_asks.append(WaitingAsks(event, now + _MAX_ASK_WAIT))
 
     def told(self, event, now):
         """Count the slices of an earlier owner that an entry has reported."""
         holder = (event.entry, event.incarnation)
         for holding in event.holdings:
             row = self.owned.get((holding.account, holding.resource))
-            if row is not None and holder not in row.given_by_holder:
+            if row is not None and holder not in row.slice_by_holder:
                 self._note_holding(row, holder, 0, holding, now)
         for row in self.owned:
             if row.key[0] not in event.accounts:
                 continue
             if not event.settled:
-                row.unlearned.add(_UNKNOWN)
-            row.unlearned.discard(event.entry)
+                row.unreported.add(_UNKNOWN_HOLDER)
+            row.unreported.discard(event.entry)
         self._answer_waiting(now)
 
     def _forget_after_pause(self, now):
@@ -187,19 +191,19 @@
             return
         row = self.owned.get((ask.account, ask.resource))
         if row is None:
-            row = self._begin_owning(ask, now)
-        if holder not in row.given_by_holder:
+            row = self._start_owning(ask, now)
+        if holder not in row.slice_by_holder:
             self._note_holding(row, holder, sequence, ask, now)
-        given = row.given_by_holder[holder]
+        given = row.slice_by_holder[holder]
         if sequence < given.sequence:
             return
         given.sequence = sequence
         given.in_use = ask.in_use
         given.wanted = ask.wanted
         given.acknowledge(ask.grant)
-        row.unlearned.discard(holder[0])
+        row.unreported.discard(holder[0])
 
-    def _begin_owning(self, ask, now):
+    def _start_owning(self, ask, now):
         """Add the row of an account that this entry has come to own.
 
         Guards against slices of two owners that add up to more than the limit, so that
@@ -219,15 +223,15 @@
             set(others),
             now + lifetime + slices.OWNER_MARGIN,
         )
-        row.unlearned.discard(state.me.name)
+        row.unreported.discard(state.me.name)
         self.owned.add(row)
-        mine = self._holder.holding(row.key, now)
-        if mine is not None:
+        own_slice = self._holder.holding(row.key, now)
+        if own_slice is not None:
             me = (state.me.name, state.me.incarnation)
-            self._note_holding(row, me, 0, mine, now)
-        names = sorted(row.unlearned)
+            self._note_holding(row, me, 0, own_slice, now)
+        names = sorted(row.unreported)
         if not slices.is_settled(self._state, now) or not state.knows_entries:
-            row.unlearned.add(_UNKNOWN)
+            row.unreported.add(_UNKNOWN_HOLDER)
         for name in names:
             address = others[name].peer_address
             state.emit(commands.AskHoldings(name, address, (ask.account,)))
@@ -235,10 +239,10 @@
 
     def _note_holding(self, row, holder, sequence, holding, now):
         lifetime = self._state.policy.grant_lifetime
-        held = Promise(
+        held = OutstandingGrant(
             holding.grant, holding.held, now + lifetime + slices.OWNER_MARGIN
         )
-        row.given_by_holder[holder] = GivenSlice(
+        row.slice_by_holder[holder] = GrantedSlice(
             holding.in_use, holding.wanted, sequence, [held]
         )
 
@@ -246,15 +250,15 @@
         owner = self._state.owner(account)
         return owner is not None and owner.name == self._state.me.name
 
-    def _is_learned(self, ask, now):
+    def _is_known(self, ask, now):
         row = self.owned.get((ask.account, ask.resource))
-        return row is None or not row.unlearned or now >= row.learned_at
+        return row is None or not row.unreported or now >= row.all_expired_at
 
     def _answer_waiting(self, now):
         waiting, self._waiting_asks = self._waiting_asks, []
         for item in waiting:
-            learned = all(self._is_learned(ask, now) for ask in item.event.asks)
-            if learned or now >= item.until:
+            is_known = all(self._is_known(ask, now) for ask in item.event.asks)
+            if is_known or now >= item.until:
                 self._grant(item.event, now)
             else:
                 self._waiting_asks.append(item)
@@ -271,25 +275,25 @@
     def _grant_one(self, holder, sequence, ask, now):
         row = self.owned.get((ask.account, ask.resource))
         account = self._state.accounts.get(ask.account)
-        if row is None or account is None or holder not in row.given_by_holder:
+        if row is None or account is None or holder not in row.slice_by_holder:
             return events.SliceGrant(ask.account, ask.resource, 0, 0)
         limit = slices.limit_of(account.contract, ask.resource)
-        given = row.given_by_holder[holder]
-        if not ask.held and not self._is_learned(ask, now):
+        given = row.slice_by_holder[holder]
+        if not ask.held and not self._is_known(ask, now):
             # The holder ignores a grant with number 0, and its callers go on waiting.
             # After a numbered grant of no slots it would refuse them.
             return events.SliceGrant(ask.account, ask.resource, 0, 0)
         if sequence < given.sequence:
             # A later ask arrived before this one, which is outdated.
             return events.SliceGrant(ask.account, ask.resource, 0, 0)
-        if self._is_learned(ask, now):
+        if self._is_known(ask, now):
             slots = self._fair_slots(row, holder, limit, now)
         else:
             slots = min(ask.held, limit)
         self._next_grant += 1
         lifetime = self._state.policy.grant_lifetime
         expires_at = now + lifetime + slices.OWNER_MARGIN
-        given.promise(Promise(self._next_grant, slots, expires_at))
+        given.add_grant(OutstandingGrant(self._next_grant, slots, expires_at))
         return events.SliceGrant(ask.account, ask.resource, slots, self._next_grant)
 
     def _fair_slots(self, row, holder, limit, now):
@@ -298,14 +302,14 @@
         If the demand of all entries exceeds the limit, shares are in proportion to
         their demand. The result never exceeds the slots that are free.
         """
-        given = row.given_by_holder[holder]
+        given = row.slice_by_holder[holder]
         others = [
             other
-            for key, other in row.given_by_holder.items()
-            if key != holder and (other.lasts(now) or other.in_use)
+            for key, other in row.slice_by_holder.items()
+            if key != holder and (other.is_valid(now) or other.in_use)
         ]
-        counted = sum(other.counted(now) for other in others)
-        free = max(0, limit - self._reserve(row, limit) - counted)
+        counted_slots = sum(other.counted_slots(now) for other in others)
+        free = max(0, limit - self._reserve(row, limit) - counted_slots)
         wanted = given.wanted + sum(other.wanted for other in others)
         share = given.wanted
         if wanted > limit:
@@ -325,18 +329,18 @@
     def _drop_expired(self, now):
         """Drop expired slices, unless requests of a live holder may still run."""
         for row in list(self.owned):
-            for holder, given in list(row.given_by_holder.items()):
-                if not given.lasts(now) and not self._may_still_run(holder, given):
-                    del row.given_by_holder[holder]
-            if not row.given_by_holder:
+            for holder, given in list(row.slice_by_holder.items()):
+                if not given.is_valid(now) and not self._may_still_run(holder, given):
+                    del row.slice_by_holder[holder]
+            if not row.slice_by_holder:
                 self.owned.remove(row.key)
 
     def _may_still_run(self, holder, given):
         name, incarnation = holder
         entry = self._state.entries.get(name)
-        lost = (
+        is_gone = (
             entry is None
             or entry.state in (events.HostState.LEFT, events.HostState.DEAD)
             or entry.incarnation > incarnation
         )
-        return given.in_use > 0 and not lost
+        return given.in_use > 0 and not is_gone
