--- a/tests/decide/test_catalogue.py
+++ b/tests/decide/test_catalogue.py
@@ -1,4 +1,4 @@
-"""Declarations and hosts: only what is newer is taken in."""
+"""Tests that outdated declarations and load reports are ignored."""
 
 import datetime
 
@@ -14,9 +14,9 @@
 
 
 def test_lower_revision_is_ignored():
-    """A change is in force, and a peer or an old read brings the one before.
+    """A peer or a stale read delivers the revision before the active one.
 
-    Taken in, it would let an account do what its contract no longer allows.
+    Adopted, it would let an account do what its contract no longer allows.
     """
     made = core.Core(ME)
     for revision, concurrency in ((1, 10), (3, 30), (2, 20), (3, 10)):
@@ -27,7 +27,7 @@
 
 
 def test_older_load_report_is_ignored():
-    """Two reports overtake each other, and the older would hide a queue."""
+    """Two load reports arrive out of order, and the older one would hide a queue."""
     made = core.Core(ME)
     target = declared.Target("engine-1", "pool", "dc", True)
     pool = declared.Pool("pool", declared.TargetKind.ENGINE, 10)
--- a/tests/decide/test_crashes.py
+++ b/tests/decide/test_crashes.py
@@ -1,4 +1,4 @@
-"""Crashed targets are told from links that broke, drains and pauses."""
+"""Tests that crashes are distinguished from broken links, drains and pauses."""
 
 import datetime
 
@@ -28,7 +28,7 @@
     return [crash.suspects for crash in core.crashes.crash_by_life.values()]
 
 
-def test_runs_that_broke_off_are_suspects_once_their_target_refuses(core):
+def test_interrupted_runs_are_suspects_once_their_target_refuses_connections(core):
     break_off(core, "aa", "bb")
     probes = core.step(NOW, [])
     assert probes == [crashes.ProbeLife(LIFE, "10.1.0.1:80")]
@@ -44,30 +44,30 @@
     assert suspects(core) == [{"aa", "bb"}]
 
 
-def test_a_target_that_started_again_has_crashed(core):
+def test_a_restarted_target_has_crashed(core):
     break_off(core, "aa")
     restarted = make_target("llm-1", "llm", revision=2, born=7)
     core.step(SOON, [targetlist.TargetChanged(restarted), events.Tick()])
     assert suspects(core) == [{"aa"}]
 
 
-def test_a_target_with_another_at_its_address_has_crashed(core):
+def test_a_target_with_a_successor_at_its_address_has_crashed(core):
     break_off(core, "aa")
     successor = make_target("llm-9-1", "llm", revision=2)
     core.step(SOON, [targetlist.TargetChanged(successor), events.Tick()])
     assert suspects(core) == [{"aa"}]
 
 
-def test_a_link_that_broke_is_no_crash(core):
-    """A link breaks and its target lives on: its runs would be suspects."""
+def test_a_broken_link_is_no_crash(core):
+    """A link breaks while its target keeps running; no run must become a suspect."""
     break_off(core, "aa")
     core.crashes.answered(LIFE, SOON)
     core.step(SOON, [crashes.LifeRefuses(LIFE)])
     assert suspects(core) == []
 
 
-def test_an_answer_from_before_the_break_proves_no_life(core):
-    """An answer lies here as its target crashes: it would be taken to live."""
+def test_an_answer_to_a_request_before_the_break_refutes_no_crash(core):
+    """An answer is still waiting here when its target crashes, and proves nothing."""
     break_off(core, "aa", at=SOON)
     core.crashes.answered(LIFE, NOW)
     core.step(SOON, [crashes.LifeRefuses(LIFE)])
@@ -75,7 +75,7 @@
 
 
 def test_a_target_that_leaves_has_not_crashed(core):
-    """A target ends after its drain, with a long run cut off."""
+    """A target ends after its drain and cuts off a long run; this is no crash."""
     leaving = make_target("llm-1", "llm", leaving=True, revision=2)
     core.step(NOW, [targetlist.TargetChanged(leaving)])
     break_off(core, "aa")
@@ -84,15 +84,15 @@
 
 
 def test_a_target_that_was_taken_off_the_list_has_not_crashed(core):
-    """Some targets never say that they leave, their record goes before them."""
+    """A target never reports that it leaves; its record is removed before it ends."""
     core.step(NOW, [targetlist.TargetRemoved("llm-1")])
     break_off(core, "aa")
     core.step(SOON, [crashes.LifeRefuses(LIFE)])
     assert suspects(core) == []
 
 
-def test_a_host_that_was_paused_blames_no_request(core):
-    """A host wakes up: its targets ended, for reasons of their own, as it slept."""
+def test_a_paused_host_suspects_no_request(core):
+    """Targets end for other reasons during a pause of this host."""
     later = NOW + 5 * SECOND
     core.step(later, [])
     break_off(core, "aa", at=later)
@@ -100,8 +100,8 @@
     assert suspects(core) == []
 
 
-def test_a_run_that_its_caller_left_just_before_is_a_suspect(core):
-    """Impatient callers repeat what crashes targets, and leave before it does."""
+def test_a_run_abandoned_just_before_the_crash_is_a_suspect(core):
+    """An impatient caller abandons a request shortly before it crashes the target."""
     core.crashes.left("cc", LIFE, NOW - 0.5 * SECOND)
     core.crashes.left("dd", LIFE, NOW - 2 * SECOND)
     break_off(core, "aa")
@@ -110,14 +110,14 @@
 
 
 def test_a_crash_is_refuted_by_a_later_answer(core):
-    """A cut link refuses connections as a dead target does, and heals."""
+    """A broken link refuses connections as a dead target does, and recovers."""
     break_off(core, "aa")
     core.step(SOON, [crashes.LifeRefuses(LIFE)])
     core.crashes.answered(LIFE, NOW + 3 * SECOND)
     assert core.crashes.crash_by_life[LIFE].is_refuted
 
 
-def test_a_life_is_asked_twice_and_then_left_to_the_list(core):
+def test_an_incarnation_is_probed_twice_and_then_left_to_the_list(core):
     break_off(core, "aa")
     moments = [NOW + number * 0.1 * SECOND for number in range(1, 5)]
     found = [core.step(moment, [events.Tick()]) for moment in moments]
--- a/tests/decide/test_crashfleet.py
+++ b/tests/decide/test_crashfleet.py
@@ -1,22 +1,24 @@
-"""Hosts and engines in a simulated fleet, some of whose requests crash engines."""
+"""Tests of a simulated fleet of hosts and engines in which requests crash engines."""
 
 import crashfleet
 import pytest
 
 BAD, WORSE = b"bad", b"worse"
-# What the users' terms allow: seconds until hosts in touch know, and retries after.
+# The seconds after which connected hosts must know of a crashing request, and the most
+# runs of it that may follow.
 CONTACT_SECONDS = 3.0
 MOST_RETRIES = 3
 SEEDS = range(12)
 
 
 def play(seed, contents=(BAD,), every=0.2, others=0.03, seconds=8.0, **fleet):
-    """Play a fleet in which others ask besides, and return it.
+    """Simulate a fleet with crashing and harmless requests, and return it.
 
     Parameters
     ----------
     every, others : float
-        Seconds between the bad requests of each content, and between the others.
+        The mean seconds between crashing requests of each content, and between
+        harmless requests.
     """
     made = crashfleet.Fleet(seed, **fleet)
     until = made.now + 3.0 + seconds
@@ -37,7 +39,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_request_that_comes_everywhere_at_once_is_stopped(seed):
+def test_a_crashing_request_that_arrives_everywhere_at_once_is_stopped(seed):
     made = play(seed, hosts=9)
     check(made)
     assert "quarantined" in made.codes(is_bad=True)
@@ -45,21 +47,21 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_one_slow_caller_takes_three_engines_on_a_calm_fleet(seed):
+def test_one_slow_caller_crashes_three_engines_on_a_calm_fleet(seed):
     made = play(seed, every=1.5, others=0.25, hosts=9)
     check(made)
     assert len(made.crashes) == 3
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_two_such_requests_at_once_are_both_stopped(seed):
+def test_two_crashing_requests_at_once_are_both_stopped(seed):
     made = play(seed, (BAD, WORSE), hosts=9, engines=8)
     check(made, (BAD, WORSE))
     assert made.remembered() == 2
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_crashes_of_other_causes_have_nobody_refused(seed):
+def test_crashes_of_other_causes_quarantine_no_request(seed):
     made = crashfleet.Fleet(seed, hosts=5, engines=6)
     made.run(1.0)
     made.ask_others(0.03, 20.0, bodies=20 if seed % 2 else 0)
@@ -73,7 +75,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_platform_that_is_away_hinders_nothing(seed):
+def test_an_unavailable_platform_does_not_delay_a_quarantine(seed):
     made = crashfleet.Fleet(seed, hosts=6)
     made.platform_is_away = True
     made.repeat(BAD, 0.2, 12.0)
@@ -86,7 +88,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_what_was_decided_outlasts_a_loss_of_power(seed):
+def test_a_quarantine_outlasts_a_loss_of_power(seed):
     made = play(seed, hosts=5)
     for number, name in enumerate(list(made.core_by_name)):
         made.start_host(name, number)
@@ -97,7 +99,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_host_that_reaches_the_platform_and_no_peer_knows_too(seed):
+def test_a_host_without_peers_learns_of_a_quarantine_from_the_platform(seed):
     made = crashfleet.Fleet(seed, hosts=5)
     made.run(2.0)
     made.cut_hosts = {"entry-4"}
@@ -107,7 +109,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_hosts_that_restart_one_after_the_other_go_on_knowing(seed):
+def test_a_rolling_restart_of_hosts_loses_no_crashes(seed):
     made = crashfleet.Fleet(seed, hosts=5)
     made.run(1.0)
     made.platform_is_away = True
@@ -120,7 +122,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_host_that_starts_hears_of_crashes_that_are_no_news(seed):
+def test_a_starting_host_receives_crashes_no_longer_announced(seed):
     made = crashfleet.Fleet(seed, hosts=5)
     made.run(1.0)
     made.ask(BAD, is_bad=True, retries_left=0)
@@ -131,7 +133,7 @@
     assert len(crashes) == len(made.crashes) == 2
 
 
-def test_hundreds_of_hosts_hear_of_it_in_time():
+def test_a_hundred_hosts_learn_of_a_quarantine_in_time():
     made = crashfleet.Fleet(
         1, hosts=100, engines=30, data_centres=tuple(f"dc-{n}" for n in range(5))
     )
--- a/tests/decide/test_fingerprints.py
+++ b/tests/decide/test_fingerprints.py
@@ -1,4 +1,4 @@
-"""Equal requests have one fingerprint, others another."""
+"""Tests that equal requests have the same fingerprint, and others a different one."""
 
 import pytest
 
@@ -32,10 +32,10 @@
     assert made.of("acme", CONTENT) != made.of("bank", CONTENT)
 
 
-def test_a_fingerprint_can_not_be_tried_out_without_the_key():
+def test_contents_can_not_be_guessed_without_the_key():
     one, other = (fingerprints.Fingerprints(key) for key in ("key", "guess"))
     assert one.of("acme", CONTENT) != other.of("acme", CONTENT)
 
 
-def test_a_body_that_is_not_held_has_no_fingerprint():
+def test_a_request_without_its_complete_body_has_no_fingerprint():
     assert fingerprints.Fingerprints("key").of("acme", None) == ""
--- a/tests/decide/test_quarantine.py
+++ b/tests/decide/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Who is refused for crashing targets, where suspects are tried, and until when."""
+"""Tests of which requests are quarantined and lifted, and where suspects may run."""
 
 import datetime
 
@@ -43,7 +43,7 @@
 
 
 def crash(core, number, *suspects, after=0.0):
-    """Have a target crash that ran some requests; `after` in seconds."""
+    """Record a crash of a target under some requests, `after` seconds from `NOW`."""
     told = gossip.TargetCrash(
         lives.Life(f"llm-{number}", 1), "llm", NOW + after * SECOND, suspects
     )
@@ -51,7 +51,7 @@
 
 
 def judge(core, after):
-    """Let time pass, and return the fingerprints that are quarantined."""
+    """Tick `after` seconds from `NOW`; return the quarantine and the commands."""
     found = core.step(NOW + after * SECOND, [events.Tick()])
     return set(core.quarantine.record_by_fingerprint), found
 
@@ -71,7 +71,7 @@
     return refusal.code if refusal is not None else None
 
 
-def test_three_crashes_quarantine_once_others_had_time_to_tell(core):
+def test_three_crashes_quarantine_once_others_had_time_to_report(core):
     for number in (1, 2, 3):
         assert code_of(core, after=1.8) is None
         crash(core, number, BAD, after=0.6 * number)
@@ -81,7 +81,7 @@
     assert judge(core, 2.4)[0] == {BAD}
 
 
-def test_a_refusal_says_not_run_and_spreads_the_return(core):
+def test_a_refusal_says_not_run_and_spreads_retries(core):
     content = fingerprints.of_content(b"x")
     sent = begin(core, "/chat/1", model="m", content=content)
     fingerprint = core.forwarding.flight_by_request[sent.request_id].fingerprint
@@ -99,7 +99,7 @@
 
 
 def test_an_attempt_ends_after_its_second_crash():
-    """A route allows many targets for a request, and it crashes one after the other."""
+    """A route allows several attempts, and a request crashes a target in each."""
     core = make_core()
     route = make_route(
         "chat",
@@ -121,7 +121,7 @@
 
 
 def test_a_crash_that_several_hosts_saw_counts_once(core):
-    """Each host tells that the same target crashed, and tells it again."""
+    """Several hosts announce the crash of one target, and repeat it."""
     for _ in range(3):
         crash(core, 1, BAD)
     crash(core, 1, BAD, OTHER)
@@ -129,8 +129,8 @@
     assert judge(core, 5.0)[0] == set()
 
 
-def test_who_ran_beside_the_cause_is_cleared(core):
-    """A request is refused because it ran twice where another crashed the target."""
+def test_requests_that_ran_beside_the_cause_are_cleared(core):
+    """A harmless request ran twice beside the cause and must not be refused."""
     crash(core, 1, BAD, OTHER, THIRD)
     crash(core, 2, BAD, OTHER, after=0.6)
     crash(core, 3, BAD, THIRD, after=1.2)
@@ -138,8 +138,8 @@
     assert core.quarantine.suspicion(OTHER) == core.quarantine.suspicion(THIRD) == 0
 
 
-def test_two_that_ran_together_each_time_are_told_apart_by_the_next_crash(core):
-    """Another ran beside the cause three times, and would be refused with it."""
+def test_suspects_that_always_ran_together_are_told_apart_by_the_next_crash(core):
+    """A harmless request ran beside the cause three times and must not be refused."""
     for number in (1, 2, 3):
         crash(core, number, BAD, OTHER, after=0.6 * number)
     assert judge(core, 2.5)[0] == set()
@@ -150,7 +150,7 @@
 
 
 def test_suspects_that_crashed_two_targets_are_tried_apart(core):
-    """Two suspects share a target: its crash tells nothing, and hurts the other."""
+    """If suspects share a target, its crash doesn't show which of them caused it."""
     for number in (1, 2):
         crash(core, number, BAD, OTHER, THIRD)
     rows = list(core.state.targets.where("pool", "llm"))
@@ -165,7 +165,7 @@
 
 
 def test_all_hosts_try_a_suspect_at_one_target(core):
-    """Copies of a request come to all hosts at once: each crashes another target."""
+    """Copies of a request arrive at all hosts at once and could crash a target each."""
     other = make_core()
     other.state.random.random()
     for fingerprint in (BAD, OTHER, THIRD):
@@ -180,7 +180,7 @@
 
 
 def test_correlated_crashes_quarantine_nobody(core):
-    """Half of the targets crash, three times, and a request was there each time."""
+    """Targets crash in groups three times, and a harmless request ran each time."""
     for number, (first, second) in enumerate(((1, 2), (3, 4), (5, 6))):
         crash(core, first, BAD, after=2.0 * number)
         crash(core, second, OTHER if number else THIRD, after=2.0 * number + 0.1)
@@ -188,8 +188,8 @@
     assert code_of(core, after=6.0) is None
 
 
-def test_equal_bodies_that_end_well_quarantine_nobody(core):
-    """Short requests are equal; targets crash by themselves where they run."""
+def test_equal_requests_that_succeed_quarantine_nobody(core):
+    """Targets crash by themselves under equal requests that succeed elsewhere."""
     for number in (1, 2, 3, 4):
         crash(core, number, BAD, after=2.0 * number)
         core.quarantine.served(BAD, NOW + (2.0 * number + 1.5) * SECOND)
@@ -212,15 +212,15 @@
 
 
 def test_a_refuted_crash_counts_for_nobody(core):
-    """A link is cut and refuses: three targets seem dead to one host, and live."""
+    """Three targets behind a broken link seem dead to one host, but answer later."""
     for number in (1, 2, 3):
         crash(core, number, BAD, after=0.6 * number)
         core.crashes.answered(lives.Life(f"llm-{number}", 1), NOW + 10 * SECOND)
     assert judge(core, 12.0)[0] == set()
 
 
-def test_one_clearing_that_goes_round_is_no_news(core):
-    """Hosts tell it on a little later each time, and never stop."""
+def test_a_clearing_that_goes_round_is_not_announced_again(core):
+    """Each host receives a clearing with a slightly later time and would forward it."""
     crash(core, 1, BAD)
     core.quarantine.served(BAD, NOW + 2 * SECOND)
     core.state.tells_crashes = False
@@ -229,10 +229,10 @@
     assert not core.state.tells_crashes
 
 
-# What outlasts a host.
+# State that outlasts a host.
 
 
-def test_a_host_that_starts_is_told_what_is_no_news(core):
+def test_a_starting_host_receives_crashes_no_longer_announced(core):
     for number in (1, 2):
         crash(core, number, BAD)
     for _ in range(20):
@@ -243,8 +243,8 @@
     assert started.quarantine.suspicion(BAD) == 2
 
 
-def test_what_is_decided_is_written_once_and_known_from_the_platform(core):
-    """All hosts lose power after the decision, and the request comes again."""
+def test_a_quarantine_is_written_once_and_read_from_the_platform(core):
+    """All hosts lose power after the decision, and the request arrives again."""
     _, found = crash_thrice(core)
     written = [item.record for item in writes(found)]
     assert [item.fingerprint for item in written] == [BAD]
@@ -256,8 +256,8 @@
     assert code_of(started) is commands.Code.QUARANTINED
 
 
-def test_another_host_writes_where_the_first_can_not(core):
-    """The platform turns away the host whose turn it is."""
+def test_another_host_writes_if_the_first_can_not(core):
+    """The platform refuses the write of the host whose turn it is."""
     peers = tuple(
         events.Host(f"entry-{n}", "entry", "dc-1", f"10.0.0.{n}:80", f"10.0.0.{n}:81")
         for n in range(2, 6)
@@ -283,7 +283,7 @@
     return record
 
 
-def test_what_an_operator_removes_is_served_again(core):
+def test_a_request_is_sent_again_after_an_operator_lifts_its_quarantine(core):
     record = quarantined(core)
     core.step(NOW + SECOND, [quarantine.QuarantineLifted(BAD)])
     assert code_of(core) is None
@@ -304,8 +304,8 @@
     assert code_of(core) is commands.Code.QUARANTINED
 
 
-def test_a_quarantined_request_is_tried_rarely_and_twice_in_all(core):
-    """Its cause is mended, and nobody finds out; or each try takes a target."""
+def test_a_quarantined_request_gets_two_rare_trial_runs(core):
+    """Without trials a fixed fault stays unnoticed; each trial may crash a target."""
     quarantined(core)
     assert writes(judge(core, 9 * 60)[1]) == []
     (wanted,) = writes(judge(core, 11 * 60)[1])
@@ -321,8 +321,8 @@
 
 
 @pytest.mark.parametrize("crashes, tries", [(3, 2), (4, 1), (5, 0), (9, 0)])
-def test_tries_and_late_crashes_stay_below_three_retries(core, crashes, tries):
-    """One that was stopped only at the fifth crash is let through twice more."""
+def test_trials_and_late_crashes_are_three_runs_at_most(core, crashes, tries):
+    """A request that is quarantined only at its fifth crash must get no trial run."""
     for tried in range(3):
         record = gossip.QuarantinedRequest(BAD, NOW, crashes, tried, revision=9 + tried)
         core.step(NOW, [quarantine.QuarantineRead(record)])
@@ -330,7 +330,7 @@
         assert len(wanted) == (tried < tries)
 
 
-def test_a_try_that_ends_well_lifts_the_quarantine(core):
+def test_a_successful_trial_lifts_the_quarantine(core):
     quarantined(core)
     core.quarantine.served(BAD, NOW + 11 * MINUTE)
     assert code_of(core, after=11 * 60) is None
@@ -338,7 +338,7 @@
     assert quarantine.RemoveQuarantine(BAD) in found
 
 
-def test_no_more_is_remembered_than_there_is_room_for(core):
+def test_records_of_crashes_and_quarantines_are_bounded(core):
     for number in range(2000):
         record = gossip.QuarantinedRequest(
             f"{number:032x}", NOW + datetime.timedelta(seconds=number), 3, revision=9
@@ -354,7 +354,7 @@
 
 
 def test_a_message_has_room_for_the_suspects_of_several_crashes():
-    """Engines with many requests crash, and news of it fills the hosts' links."""
+    """Engines crash under many requests, and messages about it fill the links."""
     core = make_core()
     for number in range(20):
         others = tuple(f"{number:02x}{other:030x}" for other in range(60))
--- a/tests/decide/test_slices.py
+++ b/tests/decide/test_slices.py
@@ -1,4 +1,4 @@
-"""Slices of limits: never more at the targets than the contract allows."""
+"""Tests that slices of a limit never allow more than the contract does."""
 
 import datetime
 import random
@@ -15,7 +15,7 @@
 ACCOUNTS = ("desk", "hall")
 NAMES = ("entry-1", "entry-2", "entry-3", "entry-4")
 ENGINE_KEEPS = datetime.timedelta(seconds=5)
-# The default time after which a silent entry is given up is twice this.
+# The default time after which a silent entry is considered dead is twice this.
 LONGEST_PAUSE = datetime.timedelta(seconds=5)
 
 DECLARATIONS = declared.Declarations(
@@ -31,10 +31,10 @@
 
 
 class Fleet:
-    """Several daemons' decision logic, with the messages between them.
+    """The decision logic of several daemons, with the messages between them.
 
-    Messages of gossip arrive at once. Messages about slices wait in `wire`
-    until they are delivered, in any order, or lost.
+    Gossip messages arrive at once. Messages about slices wait in `wire` until they are
+    delivered, in any order, or lost.
     """
 
     def __init__(self, names=NAMES):
@@ -122,7 +122,7 @@
         if receiver not in self.core_by_name:
             return
         if receiver in self.paused_until:
-            # It waits in the socket until the process wakes.
+            # The message waits in the socket until the process resumes.
             self.wire.append((receiver, kind, content))
             return
         exchange = str(next(self.numbers))
@@ -193,7 +193,7 @@
     def kill(self, name):
         del self.core_by_name[name]
         self.paused_until.pop(name, None)
-        # Nobody reads its streams any more; the engine drops them in a while.
+        # Nobody reads its streams any more; the engine drops them after a while.
         until = self.now + ENGINE_KEEPS
         lingering = self.running_by_name.pop(name)
         self.lingering += [(until, request_id) for request_id in lingering]
@@ -269,11 +269,10 @@
 
 
 def test_limit_is_kept_whatever_happens():
-    """Callers rush in while entries die, join and pause and messages get lost.
+    """Many callers arrive while entries die, join and pause, and messages get lost.
 
-    Two owners of an account give out its limit at once, or an owner that was
-    paused gives it out again, and the targets see more than the contract
-    allows.
+    Two owners of an account could grant its limit at once, or an owner could grant it
+    again after a pause, so that the targets get more than the contract allows.
     """
     hypothesis.stateful.run_state_machine_as_test(
         SlicesMachine,
@@ -290,10 +289,10 @@
 
 @pytest.mark.parametrize("dead", NAMES)
 def test_full_use_returns_after_an_entry_died(dead):
-    """An entry dies with all slots of an account in use there.
+    """An entry dies while it uses all slots of an account.
 
-    Its slices must come back to the others when they have run out, or the
-    account stays short of its contract for good.
+    Once its slices have expired, other entries must get them. Otherwise the account
+    never gets the whole limit of its contract again.
     """
     fleet = Fleet()
     fleet.pass_time(datetime.timedelta(seconds=2))
@@ -312,8 +311,8 @@
     assert fleet.at_engine() == LIMIT
 
 
-def test_idle_entry_gives_its_slices_back():
-    """One entry held the whole limit and its callers went to another entry."""
+def test_slices_of_an_idle_entry_can_be_used_elsewhere():
+    """The callers of an entry that holds the whole limit change to another entry."""
     fleet = Fleet()
     fleet.pass_time(datetime.timedelta(seconds=2))
     for _ in range(LIMIT):
@@ -328,12 +327,11 @@
     assert len(fleet.running_by_name["entry-2"]) >= LIMIT - 1
 
 
-def test_new_owner_learns_what_is_out():
+def test_new_owner_learns_which_slices_are_in_use():
     """An account's owner dies while another entry uses the whole limit.
 
-    The entry that owns the account next gets an ask from a third, before it
-    has heard of what the second holds. Granted at once, the targets would see
-    twice the contract.
+    The next owner is asked by a third entry before it knows the slices that the second
+    holds. Granted at once, they would allow twice the limit at the targets.
     """
     fleet = Fleet()
     fleet.pass_time(datetime.timedelta(seconds=2))
@@ -355,8 +353,8 @@
 def test_smaller_grant_counts_only_when_acknowledged():
     """An idle entry's slice is renewed with fewer slots, and the grant is lost.
 
-    The entry still acts on the larger slice when its callers come back, while
-    the owner gave the difference to another entry.
+    The entry still uses the larger slice when its callers come back, while the owner
+    has granted the difference to another entry.
     """
     fleet = Fleet()
     fleet.pass_time(datetime.timedelta(seconds=2))
@@ -379,10 +377,10 @@
 
 
 def test_equal_demand_uses_the_whole_limit():
-    """Three entries have more callers of one account than it may run.
+    """Three entries have more callers of one account than its limit allows.
 
-    Their shares were rounded down, so with a limit of 5 each got 1 and two
-    slots stood idle while callers were refused at all three.
+    If their shares are rounded down, each gets 1 slot of a limit of 5, and two slots
+    stay unused while all three entries refuse callers.
     """
     fleet = Fleet()
     fleet.pass_time(datetime.timedelta(seconds=2))
--- a/tests/support/crashfleet.py
+++ b/tests/support/crashfleet.py
@@ -1,6 +1,6 @@
-"""Several hosts' decision logic before engines that some requests crash, simulated.
+"""A simulation of several hosts' decision logic and of engines that requests crash.
 
-Hosts talk by gossip that takes a while, and the platform remembers what they write.
+Hosts exchange gossip with a delay, and the platform stores what they write.
 """
 
 import dataclasses
@@ -24,22 +24,24 @@
 )
 
 _TICK = 0.1
-# Seconds that a message between hosts, or a change on the platform, takes.
+# The range of seconds that a message between hosts takes, and of those after which a
+# change on the platform is seen by a host.
 _MESSAGE_SECONDS = (0.002, 0.03)
 _LISTED_AFTER = (0.05, 0.3)
-# An engine crashes so long after a bad request has reached it.
+# The range of seconds after which a bad request crashes its engine.
 _CRASHES_AFTER = (0.03, 0.17)
 _DOWN_FOR = (1.0, 3.0)
 _RUN_SECONDS = (0.1, 1.5)
 _DEADLINE_SECONDS = 12.0
-# A caller that was refused, or got no whole answer, tries once more after so long.
+# How often a caller retries if it is refused or gets no complete answer, and the range
+# of seconds that it waits first.
 _CALLER_RETRIES = 1
 _CALLER_PAUSE = (0.1, 0.4)
 
 
 @dataclasses.dataclass(slots=True)
 class Engine:
-    """An engine, in its present life."""
+    """An engine, in its current incarnation, numbered by `life`."""
 
     name: str
     life: int = 1
@@ -50,7 +52,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Asked:
-    """An attempt of a caller, and what came of it."""
+    """A caller's request, and the code of its result."""
 
     request_id: str
     content: bytes
@@ -65,11 +67,12 @@
     Attributes
     ----------
     crashes : list of (float, str)
-        When engines crashed, and under which content; empty for a crash of its own.
+        When engines crashed, and the content of the request that caused it; empty if
+        none did.
     bad_runs : list of (float, bytes)
         When bad requests reached engines.
     asked : list of Asked
-        All attempts that have their final answer.
+        All requests that have their final answer.
     """
 
     def __init__(self, seed, hosts=5, engines=5, data_centres=("dc-1",)):
@@ -95,7 +98,7 @@
     # Hosts.
 
     def start_host(self, name, number):
-        """Start a host that remembers nothing, also once more."""
+        """Start a host, or restart it with empty memory."""
         me = self._host(name, number)
         terms = gateway.Terms(gateways.budgets.BudgetRule(0.2, 50.0))
         core = gateway.Gateway(me, terms, seed=number, key="key")
@@ -188,7 +191,7 @@
             self.after(self.random.uniform(*_LISTED_AFTER), self._feed, name, event)
 
     def remembered(self):
-        """Return how many records the platform has."""
+        """Return the number of quarantine records that the platform has."""
         return len(self._quarantined)
 
     # Engines.
@@ -203,7 +206,7 @@
         )
 
     def crash(self, engine, content=b""):
-        """Crash an engine, and have it back after a while."""
+        """Crash an engine, and restart it after a while."""
         if not engine.is_up:
             return
         self.crashes.append((self.now, content))
@@ -224,7 +227,7 @@
     # Requests.
 
     def ask(self, content, is_bad=False, retries_left=_CALLER_RETRIES):
-        """Send a request to some host."""
+        """Send a request to a random host."""
         asked = Asked(f"r{next(self._ids)}", content, is_bad, retries_left)
         name = self.random.choice(self._names())
         request = gateways.make_request(
@@ -305,14 +308,17 @@
     # Callers.
 
     def repeat(self, content, every, until):
-        """Have a caller send one bad request again and again."""
+        """Send the same bad request again and again, until a time."""
         self.ask(content, is_bad=True)
         if self.now < until:
             pause = self.random.uniform(0.5 * every, 1.5 * every)
             self.after(pause, self.repeat, content, every, until)
 
     def ask_others(self, every, until, bodies=0):
-        """Have callers send other requests, of a few bodies or each of its own."""
+        """Send harmless requests until a time.
+
+        Their bodies are all different, or taken from so many if `bodies` is given.
+        """
         number = next(self._ids)
         self.ask(f"other {number % bodies if bodies else number}".encode())
         if self.now < until:
@@ -320,7 +326,10 @@
             self.after(pause, self.ask_others, every, until, bodies)
 
     def late_runs(self, contact, content):
-        """Return when a bad request reached engines after all should know of it."""
+        """Return when a bad request reached engines after all hosts should know of it.
+
+        They should know `contact` seconds after its third crash.
+        """
         ended = [at for at, under in self.crashes if under == content]
         if len(ended) < 3:
             return []
@@ -328,5 +337,5 @@
         return [at for at, run in self.bad_runs if run == content and at > known]
 
     def codes(self, is_bad):
-        """Return the codes of all attempts of bad requests, or of the others."""
+        """Return the result codes of all bad requests, or of all others."""
         return [item.code for item in self.asked if item.is_bad == is_bad]
--- a/tests/support/simulation.py
+++ b/tests/support/simulation.py
@@ -1,4 +1,4 @@
-"""A clock that events move, for fleets that are simulated."""
+"""A discrete-event simulation with a virtual clock, for simulated fleets."""
 
 import heapq
 import itertools
@@ -7,12 +7,12 @@
 
 
 class Simulation:
-    """Calls what was planned in the order of its time; nothing here waits.
+    """Runs scheduled calls in the order of their times, without waiting.
 
     Attributes
     ----------
     now : float
-        Seconds since the begin.
+        The virtual time, in seconds since the start.
     """
 
     def __init__(self):
@@ -21,7 +21,7 @@
         self._order = itertools.count()
 
     def run(self, seconds):
-        """Play on for so many seconds."""
+        """Run the simulation for a number of virtual seconds."""
         until = self.now + seconds
         while self._queue and self._queue[0][0] <= until:
             self.now, _, call, args = heapq.heappop(self._queue)
@@ -29,10 +29,10 @@
         self.now = until
 
     def after(self, seconds, call, *args):
-        """Have something called later."""
+        """Schedule a call after a number of virtual seconds."""
         entry = self.now + seconds, next(self._order), call, args
         heapq.heappush(self._queue, entry)
 
     def time(self):
-        """Return the present as hosts see it."""
+        """Return the current virtual time as a datetime, as hosts see it."""
         return gateways.NOW + self.now * gateways.SECOND
