--- a/tests/support/crashfleet.py
+++ b/tests/support/crashfleet.py
@@ -26,17 +26,17 @@
 _TICK = 0.1
 # The range of seconds that a message between hosts takes, and of those after which a
 # change on the platform is seen by a host.
-_MESSAGE_SECONDS = (0.002, 0.03)
-_LISTED_AFTER = (0.05, 0.3)
+_MESSAGE_DELAY_SECONDS = (0.002, 0.03)
+_PLATFORM_DELAY_SECONDS = (0.05, 0.3)
 # The range of seconds after which a bad request crashes its engine.
-_CRASHES_AFTER = (0.03, 0.17)
-_DOWN_FOR = (1.0, 3.0)
+_CRASH_DELAY_SECONDS = (0.03, 0.17)
+_RESTART_SECONDS = (1.0, 3.0)
 _RUN_SECONDS = (0.1, 1.5)
 _DEADLINE_SECONDS = 12.0
 # How often a caller retries if it is refused or gets no complete answer, and the range
 # of seconds that it waits first.
 _CALLER_RETRIES = 1
-_CALLER_PAUSE = (0.1, 0.4)
+_CALLER_RETRY_DELAY = (0.1, 0.4)
 
 
 @dataclasses.dataclass(slots=True)
@@ -107,7 +107,7 @@
         self._feed(name, gateway.ConfigurationRead(gateways.make_configuration()))
         peers = tuple(self._host(other, n) for n, other in enumerate(self._names()))
         self._feed(name, events.HostsListed(peers))
-        self._feed(name, targetlist.TargetsListed(self._listed()))
+        self._feed(name, targetlist.TargetsListed(self._listed_targets()))
         if not self.platform_is_away:
             records = tuple(self._quarantined.values())
             self._feed(name, quarantine.QuarantinesListed(records, 10**6))
@@ -152,11 +152,11 @@
                 self.after(0.01, self._write, name, command)
             case quarantine.RemoveQuarantine():
                 self._quarantined.pop(command.fingerprint, None)
-                self._show_all(quarantine.QuarantineLifted(command.fingerprint))
+                self._announce_change(quarantine.QuarantineLifted(command.fingerprint))
 
     def _deliver(self, sender, receiver, event):
         if sender not in self.cut_hosts and receiver not in self.cut_hosts:
-            after = self.random.uniform(*_MESSAGE_SECONDS)
+            after = self.random.uniform(*_MESSAGE_DELAY_SECONDS)
             self.after(after, self._feed, receiver, event)
 
     def _send_gossip(self, name, command):
@@ -184,11 +184,13 @@
             made = dataclasses.replace(record, revision=next(self._revision))
             self._quarantined[record.fingerprint] = made
             self._feed(name, quarantine.QuarantineWritten(made, command.is_try))
-            self._show_all(quarantine.QuarantineRead(made))
+            self._announce_change(quarantine.QuarantineRead(made))
 
-    def _show_all(self, event):
+    def _announce_change(self, event):
         for name in self._names():
-            self.after(self.random.uniform(*_LISTED_AFTER), self._feed, name, event)
+            self.after(
+                self.random.uniform(*_PLATFORM_DELAY_SECONDS), self._feed, name, event
+            )
 
     def remembered(self):
         """Return the number of quarantine records that the platform has."""
@@ -196,7 +198,7 @@
 
     # Engines.
 
-    def _listed(self):
+    def _listed_targets(self):
         return tuple(
             gateways.make_target(
                 engine.name, "llm", revision=engine.life, born=engine.life
@@ -213,16 +215,22 @@
         engine.is_up = False
         runs, engine.runs = engine.runs, []
         for asked, name, attempt in runs:
-            self.after(self.random.uniform(0, 0.01), self._break, asked, name, attempt)
-        self.after(self.random.uniform(*_DOWN_FOR), self._bring_back, engine)
+            self.after(
+                self.random.uniform(0, 0.01),
+                self._lose_connection,
+                asked,
+                name,
+                attempt,
+            )
+        self.after(self.random.uniform(*_RESTART_SECONDS), self._restart_engine, engine)
 
-    def _bring_back(self, engine):
+    def _restart_engine(self, engine):
         engine.is_up = True
         engine.life += 1
         target = gateways.make_target(
             engine.name, "llm", revision=engine.life, born=engine.life
         )
-        self._show_all(targetlist.TargetChanged(target))
+        self._announce_change(targetlist.TargetChanged(target))
 
     # Requests.
 
@@ -238,9 +246,11 @@
             content=fingerprints.of_content(content),
         )
         core = self.core_by_name[name]
-        self._go_on(asked, name, core.forwarding.begin(request, now=self.time()))
+        self._handle_result(
+            asked, name, core.forwarding.begin(request, now=self.time())
+        )
 
-    def _go_on(self, asked, name, command):
+    def _handle_result(self, asked, name, command):
         self._feed(name)
         match command:
             case sends.Forward():
@@ -260,7 +270,7 @@
             engine.runs.append((asked, name, forward.attempt))
             if asked.is_bad:
                 self.bad_runs.append((self.now, asked.content))
-                after = self.random.uniform(*_CRASHES_AFTER)
+                after = self.random.uniform(*_CRASH_DELAY_SECONDS)
                 self.after(
                     after, self._crash_in_life, engine, engine.life, asked.content
                 )
@@ -283,7 +293,7 @@
         core.forwarding.served(asked.request_id, self.time())
         self._end(asked, name, "served", None)
 
-    def _break(self, asked, name, attempt):
+    def _lose_connection(self, asked, name, attempt):
         self._end_send(asked, name, sends.Ending.LOST)
 
     def _end_send(self, asked, name, ending):
@@ -291,14 +301,14 @@
         if asked.request_id not in core.forwarding.flight_by_request:
             return
         command = core.forwarding.ended(asked.request_id, ending, now=self.time())
-        self._go_on(asked, name, command)
+        self._handle_result(asked, name, command)
 
     def _end(self, asked, name, code, retry_after):
         self.core_by_name[name].forwarding.close(asked.request_id, self.time())
         asked.code = str(code)
         self.asked.append(asked)
         if asked.retries_left and asked.code != "served":
-            pause = self.random.uniform(*_CALLER_PAUSE)
+            pause = self.random.uniform(*_CALLER_RETRY_DELAY)
             if retry_after is not None:
                 pause = min(retry_after.total_seconds(), _DEADLINE_SECONDS / 3)
             self.after(
