--- a/packages/decide/sesamespindle/decide/crashes.py
+++ b/packages/decide/sesamespindle/decide/crashes.py
@@ -105,9 +105,9 @@
 
     A crash takes two things: a connection broke while a request was in flight, and the
     target's incarnation ended. It has ended when it refuses connections, when another
-    incarnation answers at its address, or when the target list has another in its
-    place. It is no crash if the target drains, was taken off the list, or if this host
-    was paused while the request was in flight.
+    incarnation is at its address, or when the target list has another in its place. It
+    is no crash if the target drains, was taken off the list, or if this host was paused
+    while the request was in flight.
 
     Parameters
     ----------
--- a/tests/decide/test_crashfleet.py
+++ b/tests/decide/test_crashfleet.py
@@ -11,7 +11,7 @@
 SEEDS = range(12)
 
 
-def play(seed, contents=(BAD,), every=0.2, others=0.03, seconds=8.0, **fleet):
+def simulate(seed, contents=(BAD,), every=0.2, others=0.03, seconds=8.0, **fleet):
     """Simulate a fleet with crashing and harmless requests, and return it.
 
     Parameters
@@ -31,7 +31,7 @@
     return made
 
 
-def check(made, contents=(BAD,)):
+def check_stopped(made, contents=(BAD,)):
     for content in contents:
         assert len(made.late_runs(CONTACT_SECONDS, content)) <= MOST_RETRIES
         assert any(item.content == content for item in made.asked)
@@ -40,23 +40,23 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_crashing_request_that_arrives_everywhere_at_once_is_stopped(seed):
-    made = play(seed, hosts=9)
-    check(made)
+    made = simulate(seed, hosts=9)
+    check_stopped(made)
     assert "quarantined" in made.codes(is_bad=True)
     assert made.remembered() == 1
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_one_slow_caller_crashes_three_engines_on_a_calm_fleet(seed):
-    made = play(seed, every=1.5, others=0.25, hosts=9)
-    check(made)
+    made = simulate(seed, every=1.5, others=0.25, hosts=9)
+    check_stopped(made)
     assert len(made.crashes) == 3
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_two_crashing_requests_at_once_are_both_stopped(seed):
-    made = play(seed, (BAD, WORSE), hosts=9, engines=8)
-    check(made, (BAD, WORSE))
+    made = simulate(seed, (BAD, WORSE), hosts=9, engines=8)
+    check_stopped(made, (BAD, WORSE))
     assert made.remembered() == 2
 
 
@@ -89,7 +89,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_quarantine_outlasts_a_loss_of_power(seed):
-    made = play(seed, hosts=5)
+    made = simulate(seed, hosts=5)
     for number, name in enumerate(list(made.core_by_name)):
         made.start_host(name, number)
     before = len(made.crashes)
@@ -140,4 +140,4 @@
     made.run(1.0)
     made.repeat(BAD, 0.02, 5.5)
     made.run(5.5)
-    check(made)
+    check_stopped(made)
--- a/tests/decide/test_quarantine.py
+++ b/tests/decide/test_quarantine.py
@@ -44,10 +44,10 @@
 
 def crash(core, number, *suspects, after=0.0):
     """Record a crash of a target under some requests, `after` seconds from `NOW`."""
-    told = gossip.TargetCrash(
+    record = gossip.TargetCrash(
         lives.Life(f"llm-{number}", 1), "llm", NOW + after * SECOND, suspects
     )
-    core.crashes.hear([told], ())
+    core.crashes.hear([record], ())
 
 
 def judge(core, after):
@@ -224,8 +224,8 @@
     crash(core, 1, BAD)
     core.quarantine.served(BAD, NOW + 2 * SECOND)
     core.state.tells_crashes = False
-    told = gossip.ClearedRequest(BAD, NOW + 2.03 * SECOND)
-    core.quarantine.hear(gossip.CrashNews(cleared=(told,)), NOW + 2.1 * SECOND)
+    record = gossip.ClearedRequest(BAD, NOW + 2.03 * SECOND)
+    core.quarantine.hear(gossip.CrashNews(cleared=(record,)), NOW + 2.1 * SECOND)
     assert not core.state.tells_crashes
 
 
@@ -346,10 +346,10 @@
         core.quarantine.take(quarantine.QuarantineRead(record), NOW)
     assert len(core.quarantine.record_by_fingerprint) == 1024
     for number in range(600):
-        told = gossip.TargetCrash(
+        record = gossip.TargetCrash(
             lives.Life(f"x{number}"), "llm", NOW, (f"{number:032x}", BAD)
         )
-        core.crashes.hear([told], ())
+        core.crashes.hear([record], ())
     assert len(core.crashes.crash_by_life) == 128
 
 
@@ -359,7 +359,7 @@
     for number in range(20):
         others = tuple(f"{number:02x}{other:030x}" for other in range(60))
         crash(core, number, *others, BAD)
-    told = core.quarantine.told(False).crashes
-    assert sum(len(item.suspects) for item in told) <= 400
-    assert BAD in told[0].suspects
-    assert BAD in told[-1].suspects
+    announced = core.quarantine.told(False).crashes
+    assert sum(len(item.suspects) for item in announced) <= 400
+    assert BAD in announced[0].suspects
+    assert BAD in announced[-1].suspects
