--- a/packages/decide/sesamespindle/decide/quarantine.py
+++ b/packages/decide/sesamespindle/decide/quarantine.py
@@ -1,9 +1,11 @@
-"""What follows for requests under which targets crash.
-
-A request is known by its fingerprint, whatever its attempts' ids and hosts are. After
-the first crash it may be tried again, at one target that all hosts choose alike; after
-the second only in a new attempt, and away from other suspects; after the third it is
-refused, once hosts have had time to hear what others saw.
+"""Quarantine of requests that crash the targets that run them.
+
+A request is identified by its fingerprint, which stays the same when callers send it
+again with another id or to another host. After the first crash the host may retry it,
+at one target that all hosts choose alike. After the second crash no host retries it by
+itself; if the caller sends it again, it gets a target apart from those of other
+suspects. After the third crash it is refused, once the hosts have had time to receive
+what others saw of the crashes.
 """
 
 import dataclasses
@@ -11,49 +13,55 @@
 
 from sesamespindle.decide import commands, gossip, hashing, retries
 
-# Crashes under one request after which it is refused.
+# The number of crashes under one request from which it is refused.
 _QUARANTINED_FROM = 3
-# From so many crashes on it is refused although others ran beside it each time, or its
-# targets crashed together with others. Three retries after the third are allowed in
-# all, tries among them, and one is left for news that comes late.
-_QUARANTINED_ANYHOW_FROM = 5
-# Uncorrelated crashes that are needed: one may be chance.
-_UNCORRELATED = 2
-# Uncorrelated crashes after which a suspect gets no target that another such
-# suspect has.
-_APART_FROM = 2
-# Crashes of one service so close together are correlated.
+# The number of crashes from which a request is refused in any case, even if other
+# suspects ran beside it each time or its targets crashed together with others. At most
+# three runs after the third crash are allowed in all. They include the trial runs of
+# `_TRIALS_AFTER`, and one is left for a host that learns of the crashes late.
+_ALWAYS_QUARANTINED_FROM = 5
+# The number of uncorrelated crashes that a quarantine needs, as one may be chance.
+_MIN_UNCORRELATED = 2
+# The number of uncorrelated crashes from which a suspect gets a target of its own that
+# no other such suspect uses.
+_OWN_TARGET_FROM = 2
+# Crashes of one service at most this far apart are correlated.
 _CORRELATED_WITHIN = datetime.timedelta(seconds=0.5)
-# Crashes so close together are one event: a request that is tried again takes longer to
-# crash the next target.
-_AT_ONCE = datetime.timedelta(seconds=0.03)
-# What other hosts saw of a crash is here after this long: three rounds of urgent news,
-# and what a busy host adds.
-_SETTLED_AFTER = datetime.timedelta(seconds=0.5)
-# A suspect keeps a target to itself for this long after its last crash, which is when
-# its caller tries again.
-_KEEPS_TARGET_FOR = datetime.timedelta(seconds=2)
-# When callers of a quarantined request come back. Nothing will have changed sooner.
-_COME_BACK_AFTER = datetime.timedelta(minutes=1)
-# Each host writes what isn't on the platform yet this much later than the one before
-# it in rank: several calls of the platform fit in.
+# Crashes at most this far apart are one event. One request can't cause them one after
+# the other, as a retry takes longer than this to crash the next target.
+_ONE_EVENT_WITHIN = datetime.timedelta(seconds=0.03)
+# After this long the host has received what others saw of a crash. This covers three
+# rounds of urgent gossip and the delay of a busy host.
+_REPORTED_WITHIN = datetime.timedelta(seconds=0.5)
+# For this long after its last crash a suspect keeps its target to itself. Its caller
+# tries again within this time.
+_OWN_TARGET_FOR = datetime.timedelta(seconds=2)
+# The retry delay that callers of a quarantined request are given. The decision is not
+# expected to change sooner.
+_RETRY_AFTER = datetime.timedelta(minutes=1)
+# Each host waits this much longer than the host ranked before it until it writes a
+# record that the platform lacks. Several platform calls fit into this time.
 _WRITE_TURN = datetime.timedelta(seconds=1)
-# A quarantined request is let through once after the first time, and once more after
-# the second.
-_TRIED_AFTER = (datetime.timedelta(minutes=10), datetime.timedelta(hours=2))
-# Quarantined requests that are remembered, and that are told in one message.
+# How long after the quarantine the first and the second trial run of a request are
+# allowed.
+_TRIALS_AFTER = (datetime.timedelta(minutes=10), datetime.timedelta(hours=2))
+# The number of quarantined requests that are remembered, and that one gossip message
+# announces.
 _MAX_RECORDS = 1024
-_MAX_TOLD = 32
+_MAX_ANNOUNCED = 32
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WriteQuarantine:
-    """Write a record to the platform; `QuarantineWritten` or `..Unwritten` follows.
+    """Write a record to the platform.
+
+    `QuarantineWritten` or `QuarantineUnwritten` follows, or `QuarantineRead` if the
+    platform has another revision of the record.
 
     Attributes
     ----------
     is_try : bool
-        Whether the request may be let through here once it is written.
+        Whether this host may run the request once as a trial after the write.
     """
 
     record: gossip.QuarantinedRequest
@@ -69,7 +77,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QuarantineWritten:
-    """The platform has a record, as its revision says."""
+    """The platform has stored a record, under the revision that the record bears."""
 
     record: gossip.QuarantinedRequest
     is_try: bool = False
@@ -77,14 +85,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QuarantineUnwritten:
-    """It isn't known whether the platform has a record."""
+    """A write failed or its result is unknown; the platform may lack the record."""
 
     fingerprint: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QuarantineRead:
-    """The platform or a peer shows a record that the platform has."""
+    """A record that the platform has was read, from the platform or from a peer."""
 
     record: gossip.QuarantinedRequest
 
@@ -98,7 +106,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QuarantinesListed:
-    """All records that the platform has at a revision."""
+    """All records that the platform has as of a revision."""
 
     records: tuple[gossip.QuarantinedRequest, ...]
     revision: int
@@ -111,7 +119,7 @@
     Attributes
     ----------
     retry_after : datetime.timedelta
-        Spread already.
+        When the caller may try again; random jitter is included.
     """
 
     code: commands.Code
@@ -120,42 +128,45 @@
 
 
 class Quarantine:
-    """Decides which requests are refused, and where suspects may be tried.
+    """Decides which requests are refused, and at which targets suspects may run.
 
-    Guards against one request that takes all targets of a service, one after the
-    other: it comes again under new ids, at any host, and each attempt is sent on.
+    Guards against one request that crashes all targets of a service, one after the
+    other. Its caller sends it again with a new id, to any host, and each attempt
+    crashes another target. All hosts exchange the crashes by fingerprint, and refuse
+    the request after the third one.
 
     Parameters
     ----------
     state : world.World
         The shared tables.
     crashes : crashes.Crashes
-        What is known against whom.
+        The crashes, with the requests suspected of them.
     is_written : bool
-        Whether the platform keeps what is decided; else the hosts' memories do.
+        Whether records are stored on the platform. Otherwise the hosts alone keep
+        them, in memory.
     """
 
     def __init__(self, state, crashes, is_written=True):
         self._state = state
-        self._is_written = is_written
+        self._platform_stores = is_written
         self._crashes = crashes
         self.record_by_fingerprint = {}
-        # When records came to be known here that the platform may not have.
-        self._unwritten_since = {}
-        # Until when no write of a record is begun.
-        self._write_after = {}
-        # Requests that are let through here once.
-        self._let_through = set()
+        # When this host learned of records that the platform may lack, by fingerprint.
+        self._learned_at_by_fingerprint = {}
+        # When the next write of a record may start, by fingerprint.
+        self._next_write_at = {}
+        # Fingerprints of requests that this host lets through once, as a trial run.
+        self._pending_trials = set()
 
     def take(self, event, now):
-        """Take in one of this module's events; return whether it was one."""
+        """Handle one of this module's events; return whether the event was one."""
         match event:
             case QuarantineRead():
                 self._adopt(event.record, now, "read")
             case QuarantineWritten():
-                self._written(event, now)
+                self._adopt_written(event, now)
             case QuarantineUnwritten():
-                self._write_after[event.fingerprint] = now + retries.spread(
+                self._next_write_at[event.fingerprint] = now + retries.spread(
                     _WRITE_TURN, self._state.random
                 )
             case QuarantineLifted():
@@ -167,61 +178,81 @@
         return True
 
     def tick(self, now):
-        """Find causes, have the platform remember, and begin tries that are due."""
+        """Quarantine causes of crashes, write records, and start trial runs."""
         self._quarantine_causes(now)
-        if not self._is_written:
+        if not self._platform_stores:
             return
         for record in self.records():
             if record.revision:
-                self._begin_try(record, now)
+                self._start_trial(record, now)
             else:
                 self._write(record, now)
 
-    # What requests are told.
+    # Decisions on requests.
 
     def refusal(self, fingerprint, now):
-        """Return the `Refusal` of a request, or None where it may be sent."""
-        crashes = self._against(fingerprint)
+        """Return the `Refusal` of a request, or None if it may be sent."""
+        crashes = self._counted_crashes(fingerprint)
         if len(crashes) >= _QUARANTINED_FROM:
-            if not self._have_settled(crashes, now):
+            if not self._all_reported(crashes, now):
                 return self._refuse(
                     commands.Code.SUSPECTED,
-                    f"Targets crashed under this request, {len(crashes)} just now.",
-                    _SETTLED_AFTER,
+                    f"Targets crashed under this request, {len(crashes)} so far; "
+                    "reports of other hosts are awaited.",
+                    _REPORTED_WITHIN,
                 )
-            # The next tick would be too late for this request.
+            # Decide now: this request would be sent before the next tick.
             self._quarantine_causes(now)
         record = self.record_by_fingerprint.get(fingerprint)
         if record is None:
             return None
-        if fingerprint in self._let_through:
-            self._let_through.discard(fingerprint)
+        if fingerprint in self._pending_trials:
+            self._pending_trials.discard(fingerprint)
             return None
         return self._refuse(
             commands.Code.QUARANTINED,
             f"Targets crash under this request, {record.crashes} so far.",
-            _COME_BACK_AFTER,
+            _RETRY_AFTER,
         )
 
     def _refuse(self, code, message, base):
         return Refusal(code, message, retries.spread(base, self._state.random))
 
     def suspicion(self, fingerprint):
-        """Return how many targets may have crashed under a request."""
+        """Return the number of targets that may have crashed because of a request.
+
+        It includes possible crashes that are not yet confirmed.
+        """
         if not fingerprint:
             return 0
         if fingerprint in self.record_by_fingerprint:
             return _QUARANTINED_FROM
-        unsure = self._crashes.unsure(fingerprint)
-        return len(self._against(fingerprint)) + unsure
+        unsure = self._crashes.possible_crashes(fingerprint)
+        return len(self._counted_crashes(fingerprint)) + unsure
 
     def narrow(self, fingerprint, rows, now):
-        """Return the one of some targets at which a suspect may be tried, or all.
-
-        All hosts choose the same one, so that copies of a request which arrive
-        everywhere at once crash one target and not each another. Those that were
-        there twice stay apart: the next crash then tells which of them it was. Where
-        there are more of them than targets, some get none and come again.
+        """Return the target at which a suspect may run, or all for other requests.
+
+        Guards against copies of one request that arrive at many hosts at once and
+        crash a target each: all hosts choose the same target for a suspect, by
+        rendezvous hashing. It also guards against suspects that share a target, so that
+        a crash doesn't show which of them caused it: suspects of two crashes get
+        different targets. If there are more of them than targets, some get none and
+        have to come again.
+
+        Parameters
+        ----------
+        fingerprint : str
+            Of the request; may be empty.
+        rows : list of world.TargetRow
+            The targets that may run the request.
+        now : datetime.datetime
+            The current time.
+
+        Returns
+        -------
+        rows : list of world.TargetRow
+            All of `rows` for a request that isn't suspected, else one or none.
         """
         if not rows or not self.suspicion(fingerprint):
             return rows
@@ -229,103 +260,115 @@
         alive = [row for row in rows if not self._crashes.has_crashed(life_of(row))]
         row_by_name = {row.name: row for row in alive or rows}
         names = set(row_by_name)
-        if self._stays_apart(fingerprint):
-            names -= self._taken_by_others(fingerprint, names, now)
+        if self._needs_own_target(fingerprint):
+            names -= self._targets_of_others(fingerprint, names, now)
         chosen = hashing.first(fingerprint, names)
         return [row_by_name[chosen]] if chosen is not None else []
 
-    def _taken_by_others(self, fingerprint, names, now):
-        """Return the targets of suspects that choose before this one."""
+    def _targets_of_others(self, fingerprint, names, now):
+        """Return the targets taken by suspects that choose before this one.
+
+        Suspects choose in the order of their fingerprints, on all hosts alike.
+        """
         taken = set()
-        for other in sorted(self._crashes.repeated()):
+        for other in sorted(self._crashes.repeated_suspects()):
             if other >= fingerprint or taken == names:
                 break
-            if self._keeps_target(other, now) and self._stays_apart(other):
+            if self._reserves_target(other, now) and self._needs_own_target(other):
                 taken.add(hashing.first(other, names - taken))
         return taken
 
-    def _keeps_target(self, fingerprint, now):
-        latest = max((crash.at for crash in self._against(fingerprint)), default=None)
-        return latest is not None and now - latest < _KEEPS_TARGET_FOR
+    def _reserves_target(self, fingerprint, now):
+        latest = max(
+            (crash.at for crash in self._counted_crashes(fingerprint)), default=None
+        )
+        return latest is not None and now - latest < _OWN_TARGET_FOR
 
-    def _stays_apart(self, fingerprint):
+    def _needs_own_target(self, fingerprint):
         if fingerprint in self.record_by_fingerprint:
             return True
-        crashes = self._against(fingerprint)
-        return len(self._uncorrelated(fingerprint, crashes)) >= _APART_FROM
+        crashes = self._counted_crashes(fingerprint)
+        return len(self._uncorrelated_crashes(fingerprint, crashes)) >= _OWN_TARGET_FROM
 
     def served(self, fingerprint, now):
-        """Take in that a run has ended well."""
+        """Record a successful run; it ends a quarantine of the request."""
         self._crashes.served(fingerprint, now)
         if fingerprint in self.record_by_fingerprint:
             self._lift(fingerprint, now)
             self._state.emit(RemoveQuarantine(fingerprint))
 
-    # Who is the cause.
+    # Finding the causes of crashes.
 
-    def _against(self, fingerprint):
+    def _counted_crashes(self, fingerprint):
         """Return the crashes that a request may have caused.
 
-        A crash that a quarantined request explains counts for nobody else.
+        A crash with a quarantined request among its suspects is attributed to that one
+        and counts against no other request.
         """
         return [
             crash
-            for crash in self._crashes.against(fingerprint)
+            for crash in self._crashes.crashes_against(fingerprint)
             if not self._is_explained(crash)
         ]
 
     def _is_explained(self, crash):
         return not crash.suspects.isdisjoint(self.record_by_fingerprint)
 
-    def _have_settled(self, crashes, now):
-        return now - max(crash.at for crash in crashes) >= _SETTLED_AFTER
+    def _all_reported(self, crashes, now):
+        return now - max(crash.at for crash in crashes) >= _REPORTED_WITHIN
 
     def _quarantine_causes(self, now):
-        """Quarantine who crashed most targets first: that clears who was beside it."""
+        """Quarantine the requests that caused their crashes.
+
+        Those with the most crashes come first, as each quarantine clears the other
+        suspects of these crashes.
+        """
         found = [
-            (fingerprint, self._against(fingerprint))
-            for fingerprint in self._crashes.repeated()
+            (fingerprint, self._counted_crashes(fingerprint))
+            for fingerprint in self._crashes.repeated_suspects()
             if fingerprint not in self.record_by_fingerprint
         ]
         found.sort(key=lambda item: (-len(item[1]), item[0]))
         for fingerprint, _ in found:
-            crashes = self._against(fingerprint)
-            if len(crashes) < _QUARANTINED_FROM or not self._have_settled(crashes, now):
+            crashes = self._counted_crashes(fingerprint)
+            if len(crashes) < _QUARANTINED_FROM or not self._all_reported(crashes, now):
                 continue
             if self._is_cause(fingerprint, crashes):
                 record = gossip.QuarantinedRequest(fingerprint, now, len(crashes))
                 self._adopt(record, now, _describe(crashes))
 
     def _is_cause(self, fingerprint, crashes):
-        """Return whether the crashes under a request are its doing.
+        """Return whether a request caused the crashes under it.
 
-        Guards against others that are refused: those that ran beside the cause
-        more than once, as each of their crashes has another suspect with as many,
-        those that met correlated crashes, in which targets crash without them, and
-        those that many callers send, so that they ran at all targets that crashed
-        together.
+        Guards against harmless requests that are refused. There are three kinds.
+        Those that ran beside the cause several times: each of their crashes has
+        another suspect with as many crashes. Those that were in flight in correlated
+        crashes: targets that didn't run them crashed at the same time. Those that many
+        callers send: they ran at all targets that crashed together in one event.
         """
-        if len(crashes) >= _QUARANTINED_ANYHOW_FROM:
+        if len(crashes) >= _ALWAYS_QUARANTINED_FROM:
             return True
-        outside = self._uncorrelated(fingerprint, crashes)
-        if _are_one_event(outside):
+        uncorrelated = self._uncorrelated_crashes(fingerprint, crashes)
+        if _are_one_event(uncorrelated):
             return False
-        has_no_other = any(
-            not self._has_suspect(crash, len(crashes), fingerprint) for crash in outside
+        is_main_suspect = any(
+            not self._has_other_suspect(crash, len(crashes), fingerprint)
+            for crash in uncorrelated
         )
-        return len(outside) >= _UNCORRELATED and has_no_other
+        return len(uncorrelated) >= _MIN_UNCORRELATED and is_main_suspect
 
-    def _uncorrelated(self, fingerprint, crashes):
-        if len(crashes) < _UNCORRELATED:
+    def _uncorrelated_crashes(self, fingerprint, crashes):
+        if len(crashes) < _MIN_UNCORRELATED:
             return []
         return [
             crash for crash in crashes if not self._is_correlated(fingerprint, crash)
         ]
 
     def _is_correlated(self, fingerprint, crash):
-        """Return whether another target crashed at the time, without the request.
+        """Return whether a target that didn't run the request crashed at the time.
 
-        One that ran under another request with as many crashes does not count.
+        A target doesn't count if another request that ran there has enough crashes to
+        be quarantined, as that one may be the cause.
         """
         return any(
             abs(other.at - crash.at) <= _CORRELATED_WITHIN
@@ -333,33 +376,43 @@
             and fingerprint not in other.suspects
             and not other.is_refuted
             and not self._is_explained(other)
-            and not self._has_suspect(other, _QUARANTINED_FROM, fingerprint)
+            and not self._has_other_suspect(other, _QUARANTINED_FROM, fingerprint)
             for other in self._crashes.crash_by_life.values()
         )
 
-    def _has_suspect(self, crash, crashes, besides):
-        """Return whether some other suspect of a crash has so many in all."""
+    def _has_other_suspect(self, crash, crashes, excluded):
+        """Return whether a crash has another suspect with this many crashes.
+
+        Parameters
+        ----------
+        crash : crashes.Crash
+            The crash whose suspects are looked at.
+        crashes : int
+            The least number of crashes that the other suspect has in all.
+        excluded : str
+            The fingerprint of the request that is left out.
+        """
         return any(
-            other != besides and len(self._against(other)) >= crashes
+            other != excluded and len(self._counted_crashes(other)) >= crashes
             for other in crash.suspects
         )
 
-    # What is remembered.
+    # Records of quarantined requests.
 
     def _adopt(self, record, now, how):
-        """Take a record in, unless the request was seen to do no harm since."""
+        """Store a record, unless the request was cleared after it was decided."""
         fingerprint = record.fingerprint
         cleared_at = self._crashes.cleared_at(fingerprint, None)
         if cleared_at is not None and cleared_at >= record.decided_at:
             return
         known = self.record_by_fingerprint.get(fingerprint)
-        if known is not None and _standing(known) >= _standing(record):
+        if known is not None and _version_of(known) >= _version_of(record):
             return
         self.record_by_fingerprint[fingerprint] = record
         if record.revision:
-            self._unwritten_since.pop(fingerprint, None)
+            self._learned_at_by_fingerprint.pop(fingerprint, None)
         else:
-            self._unwritten_since.setdefault(fingerprint, now)
+            self._learned_at_by_fingerprint.setdefault(fingerprint, now)
         self._state.tells_crashes = True
         if known is None:
             self._state.emit(commands.Note("request_quarantined", fingerprint, how))
@@ -373,17 +426,17 @@
             self._forget(oldest.fingerprint)
 
     def _adopt_all(self, listed, now):
-        """Take in all that the platform has; what it had before is lifted."""
-        names = {record.fingerprint for record in listed.records}
+        """Adopt all records of the platform, and lift those that it has no more."""
+        fingerprints = {record.fingerprint for record in listed.records}
         for record in self.records():
-            is_gone = record.fingerprint not in names
-            if is_gone and 0 < record.revision <= listed.revision:
+            is_removed = record.fingerprint not in fingerprints
+            if is_removed and 0 < record.revision <= listed.revision:
                 self._lift(record.fingerprint, now)
         for record in listed.records:
             self._adopt(record, now, "listed")
 
     def _lift(self, fingerprint, now):
-        """Let a request be sent again, and forget what it had crashed."""
+        """End the quarantine of a request and clear its earlier crashes."""
         if fingerprint not in self.record_by_fingerprint:
             return
         self._forget(fingerprint)
@@ -392,98 +445,110 @@
 
     def _forget(self, fingerprint):
         del self.record_by_fingerprint[fingerprint]
-        self._unwritten_since.pop(fingerprint, None)
-        self._write_after.pop(fingerprint, None)
-        self._let_through.discard(fingerprint)
+        self._learned_at_by_fingerprint.pop(fingerprint, None)
+        self._next_write_at.pop(fingerprint, None)
+        self._pending_trials.discard(fingerprint)
 
     def _write(self, record, now):
-        """Have the platform remember a record, if it is this host's turn.
+        """Write a record to the platform, if it is this host's turn.
 
-        Guards against a loss of power that takes every host's memory. All hosts
-        decide at about the same time; they take turns, so that one writes, and the
-        next where the platform turns that one away.
+        Guards against a power loss that erases the memory of all hosts, after which
+        the request would crash targets again. All hosts decide at about the same time,
+        so they take turns by rank: one writes, and the next one writes if the platform
+        has refused the host before it.
         """
         fingerprint = record.fingerprint
-        turn = self._unwritten_since[fingerprint]
-        turn += self._rank(fingerprint) * _WRITE_TURN
-        if now < max(turn, self._write_after.get(fingerprint, turn)):
+        turn_at = self._learned_at_by_fingerprint[fingerprint]
+        turn_at += self._rank(fingerprint) * _WRITE_TURN
+        if now < max(turn_at, self._next_write_at.get(fingerprint, turn_at)):
             return
-        self._write_after[fingerprint] = now + _WRITE_TURN
+        self._next_write_at[fingerprint] = now + _WRITE_TURN
         self._state.emit(WriteQuarantine(record))
 
     def _rank(self, fingerprint):
-        """Return the place of this host among those that may write a record."""
+        """Return this host's rank among the live hosts for writing a record; 0 first.
+
+        A host that isn't live comes last.
+        """
         names = [row.name for row in self._state.live_entries()]
         me = self._state.me.name
         ranked = hashing.rank(fingerprint, names)
         return ranked.index(me) if me in ranked else len(ranked)
 
-    def _written(self, event, now):
+    def _adopt_written(self, event, now):
         self._adopt(event.record, now, "written")
         if event.is_try:
-            self._let_through.add(event.record.fingerprint)
+            self._pending_trials.add(event.record.fingerprint)
 
-    def _begin_try(self, record, now):
-        """Let a request through once more, some time after it was quarantined.
+    def _start_trial(self, record, now):
+        """Start a trial run of a quarantined request, if one is due.
 
-        Guards against a request that is refused for good although its cause is
-        mended. The platform counts the tries, and one host makes them.
+        Guards against a request that is refused for good although the fault that made
+        it crash targets is fixed. The platform counts the trial runs, and only the
+        host with the first rank makes them, so that hosts don't make one each.
         """
-        allowed = min(len(_TRIED_AFTER), _QUARANTINED_ANYHOW_FROM - record.crashes)
+        allowed = min(len(_TRIALS_AFTER), _ALWAYS_QUARANTINED_FROM - record.crashes)
         if record.tries >= allowed:
             return
-        if now < record.decided_at + _TRIED_AFTER[record.tries]:
+        if now < record.decided_at + _TRIALS_AFTER[record.tries]:
             return
         fingerprint = record.fingerprint
-        if now < self._write_after.get(fingerprint, now) or self._rank(fingerprint):
+        if now < self._next_write_at.get(fingerprint, now) or self._rank(fingerprint):
             return
-        self._write_after[fingerprint] = now + _WRITE_TURN
-        more = dataclasses.replace(record, tries=record.tries + 1)
-        self._state.emit(WriteQuarantine(more, is_try=True))
+        self._next_write_at[fingerprint] = now + _WRITE_TURN
+        counted = dataclasses.replace(record, tries=record.tries + 1)
+        self._state.emit(WriteQuarantine(counted, is_try=True))
 
     def records(self):
-        """Return the `gossip.QuarantinedRequest` of all that are refused."""
+        """Return the `gossip.QuarantinedRequest` of all quarantined requests."""
         return list(self.record_by_fingerprint.values())
 
     def written(self):
-        """Return the records that the platform is known to have."""
+        """Return the records that the platform is known to have stored."""
         return [record for record in self.records() if record.revision]
 
-    # What is told to peers and heard from them.
+    # Gossip with peers.
 
     def told(self, whole):
-        """Return the `gossip.CrashNews` for a peer."""
+        """Return the `gossip.CrashNews` to send to a peer.
+
+        Parameters
+        ----------
+        whole : bool
+            Whether to send all crashes and clearings that are known, as to a peer that
+            has just started, and not only those that are still announced.
+        """
         crashes, cleared = self._crashes.told(whole)
         records = tuple(self.record_by_fingerprint.values())
-        return gossip.CrashNews(crashes, cleared, records[-_MAX_TOLD:])
+        return gossip.CrashNews(crashes, cleared, records[-_MAX_ANNOUNCED:])
 
     def note_round(self):
-        """Count a round of gossip in which what is news was told."""
+        """Count a gossip round in which the recent records were announced."""
         self._crashes.note_round()
 
     def hear(self, news, now):
-        """Take in what a peer tells."""
+        """Merge a `gossip.CrashNews` received from a peer."""
         self._crashes.hear(news.crashes, news.cleared)
-        for told in news.cleared:
-            record = self.record_by_fingerprint.get(told.fingerprint)
-            if record is not None and record.decided_at <= told.at:
-                self._lift(told.fingerprint, told.at)
+        for cleared in news.cleared:
+            record = self.record_by_fingerprint.get(cleared.fingerprint)
+            if record is not None and record.decided_at <= cleared.at:
+                self._lift(cleared.fingerprint, cleared.at)
         for record in news.quarantined:
             self._adopt(record, now, "heard")
 
 
 def _are_one_event(crashes):
-    """Return whether targets crashed together, each with several requests."""
+    """Return whether targets crashed together, each while it ran several requests."""
     times = [crash.at for crash in crashes]
-    if not times or max(times) - min(times) > _AT_ONCE:
+    if not times or max(times) - min(times) > _ONE_EVENT_WITHIN:
         return False
     return all(len(crash.suspects) > 1 for crash in crashes)
 
 
-def _standing(record):
+def _version_of(record):
     return record.revision, record.tries
 
 
 def _describe(crashes):
     names = ", ".join(sorted(crash.life.name for crash in crashes))
-    return f"{len(crashes)} targets crashed under it: {names}"
+    return f"{len(crashes)} targets crashed while running it: {names}"
--- a/packages/decide/sesamespindle/decide/sliceholder.py
+++ b/packages/decide/sesamespindle/decide/sliceholder.py
@@ -6,22 +6,36 @@
 
 from sesamespindle.decide import commands, events, slices, tables
 
-_RENEW_AT = 0.5
-_IDLE_KEPT_FOR = datetime.timedelta(seconds=30)
-# An ask without an answer for this long is taken for lost.
+# A slice is renewed when less than this fraction of its grant lifetime remains.
+_RENEW_BELOW = 0.5
+# An unused slice is dropped this long after a request last needed it.
+_IDLE_RETENTION = datetime.timedelta(seconds=30)
+# An ask is considered lost if it is not answered for this long.
 _ASK_TIMEOUT = datetime.timedelta(milliseconds=300)
 
 
 @dataclasses.dataclass(slots=True)
 class HeldRow:
-    """A slice that this entry holds, with the grant it came by.
+    """A slice that this entry holds, with its grant.
 
     Attributes
     ----------
+    key : tuple of (str, events.Resource)
+        The account and the resource.
+    slots : int
+        The slots that requests may use until `expires_at`.
+    grant : int
+        The number of the grant; 0 before the first.
+    expires_at : datetime.datetime or None
+        When the grant expires; None before the first.
+    asked_at : datetime.datetime or None
+        When the owner was first asked.
+    needed_at : datetime.datetime or None
+        When a request last needed the slice.
     pending_since : datetime.datetime or None
-        When an ask was sent that has no answer yet.
+        When the latest ask was sent; None if it was answered.
     limited : bool
-        Whether the last grant was smaller than what was asked for.
+        Whether the last grant was smaller than asked for.
     """
 
     key: tuple[str, events.Resource]
@@ -35,32 +49,33 @@
 
 
 class SliceHolder:
-    """Asks owners for slices, and tells how many requests may run here.
+    """Asks owners for slices, and limits how many requests may run on this entry.
 
     Parameters
     ----------
     state : world.World
         The shared tables.
     usage : callable
-        What an account uses and would use here: (in use, waiting), by the
-        account's name and a resource.
+        Takes an account's name and a resource. Returns the numbers of the account's
+        requests that run and that wait here.
     """
 
     def __init__(self, state, usage):
         self._state = state
         self._usage = usage
         self.held: tables.Table[HeldRow] = tables.Table("key")
-        self._next_ask = 0
+        self._last_sequence = 0
 
     def slots(self, account, resource, now):
         """Return how many requests of an account may run here now.
 
-        Without an owner's slice this is the account's fallback share.
+        This is the slice from the owner. If no owner has answered for long enough, it
+        is the fallback share.
         """
         row = self.held.get((account.name, resource))
         if row is None:
             return 0
-        if _lasts(row, now):
+        if _is_valid(row, now):
             return row.slots
         if not self._is_without_owner(row, now):
             return 0
@@ -68,15 +83,18 @@
         return slices.fallback_share(self._state, limit)
 
     def prospect(self, account, resource, now):
-        """Return how many slots an account may expect here after asking."""
+        """Return how many slots an account may expect here once the owner is asked.
+
+        This is the whole limit, unless the last grant was smaller than asked for.
+        """
         row = self.held.get((account.name, resource))
         if row is None or not row.limited:
             return slices.limit_of(account.contract, resource)
         return self.slots(account, resource, now)
 
     def need(self, account, resource, now):
-        """Ask the owner now, where the slice held is too small for a request."""
-        row = self._held(account, resource)
+        """Ask the owner at once if the slice is too small for the requests here."""
+        row = self._row_of(account, resource)
         row.needed_at = now
         if not self._is_enough(row, now) and not _is_pending(row, now):
             self._ask([row], now)
@@ -88,20 +106,21 @@
             self.held.remove(row.key)
 
     def granted(self, event, now):
-        """Use the slices that an owner gave, and ask for more where needed.
+        """Use the slices that an owner granted, and ask for larger ones if needed.
 
-        What arrived since the ask was sent is asked for now, in one ask for
-        all of it.
+        Requests may have arrived since the ask was sent. A single new ask covers all of
+        them.
         """
         wanted_by_key = {(ask.account, ask.resource): ask.wanted for ask in event.asks}
         for key in wanted_by_key:
             if key in self.held:
                 self.held.get(key).pending_since = None
         used = [
-            self._use(event.asked_at, grant, wanted_by_key) for grant in event.grants
+            self._apply_grant(event.asked_at, grant, wanted_by_key)
+            for grant in event.grants
         ]
-        # Only after a real grant: an owner that grants nothing yet, or isn't the
-        # owner any more, would be asked again without end.
+        # Ask again only after a grant. An owner that grants nothing yet, or is no
+        # longer the owner, would otherwise be asked in an endless loop.
         short = [
             row
             for row in used
@@ -110,14 +129,16 @@
         self._ask(short, now)
 
     def holding(self, key, now):
-        """Return what is held of one account's limit as an ask, or None."""
+        """Return the slice held for a key as a `events.SliceAsk`, or None."""
         row = self.held.get(key)
-        return self._ask_of(row, now) if row is not None else None
+        return self._make_ask(row, now) if row is not None else None
 
     def tell(self, event, now):
-        """Tell a new owner what this entry holds."""
+        """Answer a new owner with the slices that this entry holds."""
         holdings = [
-            self._ask_of(row, now) for row in self.held if row.key[0] in event.accounts
+            self._make_ask(row, now)
+            for row in self.held
+            if row.key[0] in event.accounts
         ]
         self._state.note_incarnation(event.owner, event.owner_incarnation, now)
         self._state.emit(
@@ -126,8 +147,8 @@
             )
         )
 
-    def _use(self, asked_at, grant, wanted_by_key):
-        """Use a grant and return its row, or None where there is nothing to use."""
+    def _apply_grant(self, asked_at, grant, wanted_by_key):
+        """Use a grant and return its row, or None if the grant is empty or outdated."""
         row = self.held.get((grant.account, grant.resource))
         if row is None or not grant.grant:
             return None
@@ -140,7 +161,7 @@
         row.expires_at = expires_at
         return row
 
-    def _held(self, account, resource):
+    def _row_of(self, account, resource):
         key = (account, resource)
         row = self.held.get(key)
         if row is None:
@@ -149,7 +170,11 @@
         return row
 
     def _is_without_owner(self, row, now):
-        """Return whether no owner has answered for longer than any would need."""
+        """Return whether owners have not answered for so long that none is reachable.
+
+        This is so once the last slice has expired for the owner too, or, before the
+        first grant, two grant lifetimes after the first ask.
+        """
         if row.expires_at is not None:
             return now - row.expires_at > slices.OWNER_MARGIN
         longest = 2 * self._state.policy.grant_lifetime
@@ -157,7 +182,7 @@
 
     def _is_enough(self, row, now):
         in_use, waiting = self._usage(*row.key)
-        return _lasts(row, now) and in_use + waiting <= row.slots
+        return _is_valid(row, now) and in_use + waiting <= row.slots
 
     def _is_due(self, row, now):
         if row.expires_at is None:
@@ -165,26 +190,26 @@
         left = row.expires_at - now
         in_use, waiting = self._usage(*row.key)
         lifetime = self._state.policy.grant_lifetime
-        return left < lifetime * _RENEW_AT or in_use + waiting > row.slots
+        return left < lifetime * _RENEW_BELOW or in_use + waiting > row.slots
 
     def _is_idle(self, row, now):
         in_use, waiting = self._usage(*row.key)
         if in_use or waiting:
             return False
-        return row.needed_at is None or now - row.needed_at > _IDLE_KEPT_FOR
+        return row.needed_at is None or now - row.needed_at > _IDLE_RETENTION
 
-    def _ask_of(self, row, now):
+    def _make_ask(self, row, now):
         account_name, resource = row.key
         in_use, waiting = self._usage(account_name, resource)
-        lasts = _lasts(row, now)
+        is_valid = _is_valid(row, now)
         wanted = in_use + waiting + max(1, in_use // 4)
         return events.SliceAsk(
             account_name,
             resource,
             in_use,
             wanted,
-            row.slots if lasts else 0,
-            row.grant if lasts else 0,
+            row.slots if is_valid else 0,
+            row.grant if is_valid else 0,
         )
 
     def _ask(self, rows, now):
@@ -193,15 +218,17 @@
             owner = self._state.owner(row.key[0])
             if owner is not None:
                 row.asked_at = row.asked_at or now
-                ask = self._ask_of(row, now)
+                ask = self._make_ask(row, now)
                 row.pending_since = now
                 asks_by_address[owner.peer_address].append(ask)
         for address, asks in asks_by_address.items():
-            self._next_ask += 1
-            self._state.emit(commands.AskSlices(address, self._next_ask, tuple(asks)))
+            self._last_sequence += 1
+            self._state.emit(
+                commands.AskSlices(address, self._last_sequence, tuple(asks))
+            )
 
 
-def _lasts(row, now):
+def _is_valid(row, now):
     return row.expires_at is not None and now < row.expires_at
 
 
--- a/packages/decide/sesamespindle/decide/sliceowner.py
+++ b/packages/decide/sesamespindle/decide/sliceowner.py
@@ -1,103 +1,134 @@
-"""The slices of accounts' limits that this entry gives as their owner."""
+"""The slices of accounts' limits that this entry grants as their owner."""
 
 import dataclasses
 import datetime
 
 from sesamespindle.decide import commands, events, slices, tables
 
-# Stands among the unlearned entries for one that can't be asked: the earlier
-# incarnation of some entry, or an entry that this daemon hasn't heard of yet.
-_UNKNOWN = ""
-_WAITED_FOR_LEARNING = datetime.timedelta(milliseconds=400)
+# A placeholder in `OwnedRow.unreported` for a holder that can't be asked: an earlier
+# incarnation of an entry, or an entry that this daemon doesn't know yet.
+_UNKNOWN_HOLDER = ""
+# The longest time that an ask waits until the owner knows the slices in use.
+_MAX_ASK_WAIT = datetime.timedelta(milliseconds=400)
 
 
 @dataclasses.dataclass(slots=True)
-class Promise:
-    """Slots that an entry may use until a time, by the number of their grant."""
+class OutstandingGrant:
+    """A grant that an entry may use until it expires.
 
-    grant: int
+    Attributes
+    ----------
+    number : int
+        The number of the grant.
+    slots : int
+        The slots granted.
+    expires_at : datetime.datetime
+        Until when the owner counts them.
+    """
+
+    number: int
     slots: int
     expires_at: datetime.datetime
 
 
 @dataclasses.dataclass(slots=True)
-class GivenSlice:
-    """What this owner gave to an entry, or learned that it holds.
+class GrantedSlice:
+    """The slice of an entry, granted by this owner or reported by the entry.
 
     Attributes
     ----------
-    promises : list of Promise
-        Grants that the entry may act on: the latest, and those before it that
-        the entry has not yet shown to have replaced.
+    in_use : int
+        The slots that the entry used at its last ask.
+    wanted : int
+        The slots that the entry last asked for.
+    sequence : int
+        The number of its last ask.
+    outstanding_grants : list of OutstandingGrant
+        The grants that the entry may be using: the latest one, and earlier ones until
+        the entry acknowledges a later one.
     """
 
     in_use: int
     wanted: int
     sequence: int
-    promises: list[Promise]
+    outstanding_grants: list[OutstandingGrant]
 
-    def counted(self, now):
-        """Return the slots that the entry may be using.
+    def counted_slots(self, now):
+        """Return the most slots that the entry may be using.
 
-        Guards against a smaller grant whose message is lost: the entry goes on
-        with the larger one before it, until that runs out.
+        Guards against a smaller grant whose message is lost. The entry goes on using
+        the larger grant before it until that expires, and together with a slice made of
+        the difference it would exceed the limit. So the largest grant that is neither
+        expired nor replaced counts.
         """
-        promised = [item.slots for item in self.promises if item.expires_at > now]
-        return max([self.in_use, *promised])
+        slots = [
+            item.slots for item in self.outstanding_grants if item.expires_at > now
+        ]
+        return max([self.in_use, *slots])
 
-    def lasts(self, now):
-        """Return whether any grant has not run out."""
-        return any(item.expires_at > now for item in self.promises)
+    def is_valid(self, now):
+        """Return whether any grant has not expired."""
+        return any(item.expires_at > now for item in self.outstanding_grants)
 
-    def promise(self, promise):
+    def add_grant(self, grant):
         """Add a grant."""
-        self.promises.append(promise)
+        self.outstanding_grants.append(grant)
 
     def acknowledge(self, grant):
-        """Drop the grants before one that the entry shows to act on."""
-        self.promises = [item for item in self.promises if item.grant >= grant]
+        """Drop the grants before the one that the entry says it uses."""
+        self.outstanding_grants = [
+            item for item in self.outstanding_grants if item.number >= grant
+        ]
 
 
 @dataclasses.dataclass(slots=True)
 class OwnedRow:
-    """An account's limit as its owner has cut it.
+    """An account's limit, with the slices that its owner has granted.
 
     Attributes
     ----------
-    unlearned : set of str
-        Entries that may hold slices of an earlier owner.
-    given_by_holder : dict
-        Slices by name and incarnation of their holder. A new incarnation has
-        none of the old one's, which may still run at the targets.
-    learned_at : datetime.datetime
-        When slices of an earlier owner have run out in any case.
+    key : tuple of (str, events.Resource)
+        The account and the resource.
+    unreported : set of str
+        Entries that may hold slices of an earlier owner and have not reported them.
+    all_expired_at : datetime.datetime
+        When all slices of an earlier owner have expired in any case.
+    slice_by_holder : dict
+        Slices by name and incarnation of their holder. A new incarnation doesn't take
+        over the slices of the old one, whose requests may still run at the targets.
     """
 
     key: tuple[str, events.Resource]
-    unlearned: set[str]
-    learned_at: datetime.datetime
-    given_by_holder: dict[tuple[str, int], GivenSlice] = dataclasses.field(
+    unreported: set[str]
+    all_expired_at: datetime.datetime
+    slice_by_holder: dict[tuple[str, int], GrantedSlice] = dataclasses.field(
         default_factory=dict
     )
 
 
 @dataclasses.dataclass(slots=True)
-class WaitingAsk:
-    """Asks that are answered once the owner has learned what is out."""
+class WaitingAsks:
+    """Asks that wait until the owner has learned which slices are in use.
+
+    Attributes
+    ----------
+    until : datetime.datetime
+        When they are answered in any case.
+    """
 
     event: events.SlicesAsked
     until: datetime.datetime
 
 
 class SliceOwner:
-    """Cuts the limits of the accounts that this entry owns.
+    """Divides the limits of the accounts that this entry owns into slices.
 
     Parameters
     ----------
     state : world.World
         The shared tables.
     holder : sliceholder.SliceHolder
-        What this entry holds itself.
+        The slices that this entry holds itself.
     """
 
     def __init__(self, state, holder):
@@ -109,43 +140,44 @@
         self._last_tick = None
 
     def tick(self, now):
-        """Answer asks that waited, and drop slices that have run out."""
+        """Answer waiting asks, and drop expired slices."""
         self._forget_after_pause(now)
         self._answer_waiting(now)
         self._drop_expired(now)
 
     def asked(self, event, now):
-        """Answer an entry, at once or when what is out has been learned."""
+        """Answer an entry's asks, at once or when the slices in use are known."""
         self._state.note_incarnation(event.entry, event.incarnation, now)
         holder = (event.entry, event.incarnation)
         for ask in event.asks:
             self._note_ask(holder, event.sequence, ask, now)
-        if all(self._is_learned(ask, now) for ask in event.asks):
+        if all(self._is_known(ask, now) for ask in event.asks):
             self._grant(event, now)
             return
-        self._waiting_asks.append(WaitingAsk(event, now + _WAITED_FOR_LEARNING))
+        self._waiting_asks.append(WaitingAsks(event, now + _MAX_ASK_WAIT))
 
     def told(self, event, now):
-        """Count what an entry holds of an earlier owner's slices."""
+        """Count the slices of an earlier owner that an entry has reported."""
         holder = (event.entry, event.incarnation)
         for holding in event.holdings:
             row = self.owned.get((holding.account, holding.resource))
-            if row is not None and holder not in row.given_by_holder:
+            if row is not None and holder not in row.slice_by_holder:
                 self._note_holding(row, holder, 0, holding, now)
         for row in self.owned:
             if row.key[0] not in event.accounts:
                 continue
             if not event.settled:
-                row.unlearned.add(_UNKNOWN)
-            row.unlearned.discard(event.entry)
+                row.unreported.add(_UNKNOWN_HOLDER)
+            row.unreported.discard(event.entry)
         self._answer_waiting(now)
 
     def _forget_after_pause(self, now):
-        """Forget what this owner gave if it was paused for long.
+        """Forget the granted slices after a long pause of this process.
 
-        Guards against an owner that was frozen while another took over: what
-        it gave has run out by its clock, and it would give the whole limit
-        again beside the new owner. It learns what is out first.
+        Guards against an owner that was paused while another entry took over, and that
+        then grants slices beside the new owner, so that both exceed the limit. By its
+        own clock its slices have expired and the whole limit is free. Without its rows
+        it learns first which slices are in use.
         """
         paused_for = now - (self._last_tick or now)
         self._last_tick = now
@@ -159,24 +191,25 @@
             return
         row = self.owned.get((ask.account, ask.resource))
         if row is None:
-            row = self._begin_owning(ask, now)
-        if holder not in row.given_by_holder:
+            row = self._start_owning(ask, now)
+        if holder not in row.slice_by_holder:
             self._note_holding(row, holder, sequence, ask, now)
-        given = row.given_by_holder[holder]
+        given = row.slice_by_holder[holder]
         if sequence < given.sequence:
             return
         given.sequence = sequence
         given.in_use = ask.in_use
         given.wanted = ask.wanted
         given.acknowledge(ask.grant)
-        row.unlearned.discard(holder[0])
+        row.unreported.discard(holder[0])
 
-    def _begin_owning(self, ask, now):
-        """Begin to own an account: learn what is out, or wait until it ran out.
+    def _start_owning(self, ask, now):
+        """Add the row of an account that this entry has come to own.
 
-        Guards against two owners' slices adding up to more than the limit: an
-        earlier owner's slices are counted, and entries that can't be asked are
-        waited for as long as a slice can last.
+        Guards against slices of two owners that add up to more than the limit, so that
+        the targets get more than the contract allows. The new owner asks all entries
+        for the slices that they hold of an earlier owner, and counts them. If some
+        holder can't be asked, it waits until any slice must have expired.
         """
         state = self._state
         lifetime = state.policy.grant_lifetime
@@ -190,15 +223,15 @@
             set(others),
             now + lifetime + slices.OWNER_MARGIN,
         )
-        row.unlearned.discard(state.me.name)
+        row.unreported.discard(state.me.name)
         self.owned.add(row)
-        mine = self._holder.holding(row.key, now)
-        if mine is not None:
+        own_slice = self._holder.holding(row.key, now)
+        if own_slice is not None:
             me = (state.me.name, state.me.incarnation)
-            self._note_holding(row, me, 0, mine, now)
-        names = sorted(row.unlearned)
+            self._note_holding(row, me, 0, own_slice, now)
+        names = sorted(row.unreported)
         if not slices.is_settled(self._state, now) or not state.knows_entries:
-            row.unlearned.add(_UNKNOWN)
+            row.unreported.add(_UNKNOWN_HOLDER)
         for name in names:
             address = others[name].peer_address
             state.emit(commands.AskHoldings(name, address, (ask.account,)))
@@ -206,10 +239,10 @@
 
     def _note_holding(self, row, holder, sequence, holding, now):
         lifetime = self._state.policy.grant_lifetime
-        held = Promise(
+        held = OutstandingGrant(
             holding.grant, holding.held, now + lifetime + slices.OWNER_MARGIN
         )
-        row.given_by_holder[holder] = GivenSlice(
+        row.slice_by_holder[holder] = GrantedSlice(
             holding.in_use, holding.wanted, sequence, [held]
         )
 
@@ -217,15 +250,15 @@
         owner = self._state.owner(account)
         return owner is not None and owner.name == self._state.me.name
 
-    def _is_learned(self, ask, now):
+    def _is_known(self, ask, now):
         row = self.owned.get((ask.account, ask.resource))
-        return row is None or not row.unlearned or now >= row.learned_at
+        return row is None or not row.unreported or now >= row.all_expired_at
 
     def _answer_waiting(self, now):
         waiting, self._waiting_asks = self._waiting_asks, []
         for item in waiting:
-            learned = all(self._is_learned(ask, now) for ask in item.event.asks)
-            if learned or now >= item.until:
+            is_known = all(self._is_known(ask, now) for ask in item.event.asks)
+            if is_known or now >= item.until:
                 self._grant(item.event, now)
             else:
                 self._waiting_asks.append(item)
@@ -242,46 +275,51 @@
     def _grant_one(self, holder, sequence, ask, now):
         row = self.owned.get((ask.account, ask.resource))
         account = self._state.accounts.get(ask.account)
-        if row is None or account is None or holder not in row.given_by_holder:
+        if row is None or account is None or holder not in row.slice_by_holder:
             return events.SliceGrant(ask.account, ask.resource, 0, 0)
         limit = slices.limit_of(account.contract, ask.resource)
-        given = row.given_by_holder[holder]
-        if not ask.held and not self._is_learned(ask, now):
-            # No answer is better than "no slots": callers may wait for it.
+        given = row.slice_by_holder[holder]
+        if not ask.held and not self._is_known(ask, now):
+            # The holder ignores a grant with number 0, and its callers go on waiting.
+            # After a numbered grant of no slots it would refuse them.
             return events.SliceGrant(ask.account, ask.resource, 0, 0)
         if sequence < given.sequence:
-            # A later ask overtook this one, which tells of the past.
+            # A later ask arrived before this one, which is outdated.
             return events.SliceGrant(ask.account, ask.resource, 0, 0)
-        if self._is_learned(ask, now):
+        if self._is_known(ask, now):
             slots = self._fair_slots(row, holder, limit, now)
         else:
             slots = min(ask.held, limit)
         self._next_grant += 1
         lifetime = self._state.policy.grant_lifetime
         expires_at = now + lifetime + slices.OWNER_MARGIN
-        given.promise(Promise(self._next_grant, slots, expires_at))
+        given.add_grant(OutstandingGrant(self._next_grant, slots, expires_at))
         return events.SliceGrant(ask.account, ask.resource, slots, self._next_grant)
 
     def _fair_slots(self, row, holder, limit, now):
-        """Return what an entry may have: its demand, or its share of the limit."""
-        given = row.given_by_holder[holder]
+        """Return the slots for an entry: its demand, or its share of the limit.
+
+        If the demand of all entries exceeds the limit, shares are in proportion to
+        their demand. The result never exceeds the slots that are free.
+        """
+        given = row.slice_by_holder[holder]
         others = [
             other
-            for key, other in row.given_by_holder.items()
-            if key != holder and (other.lasts(now) or other.in_use)
+            for key, other in row.slice_by_holder.items()
+            if key != holder and (other.is_valid(now) or other.in_use)
         ]
-        counted = sum(other.counted(now) for other in others)
-        free = max(0, limit - self._reserve(row, limit) - counted)
+        counted_slots = sum(other.counted_slots(now) for other in others)
+        free = max(0, limit - self._reserve(row, limit) - counted_slots)
         wanted = given.wanted + sum(other.wanted for other in others)
         share = given.wanted
         if wanted > limit:
-            # Rounded up, or what the shares leave over would be used by nobody
-            # while all wait; `free` keeps the sum within the limit.
+            # Round up: with shares rounded down, the remaining slots would stay unused
+            # while all entries wait. `free` keeps the sum within the limit.
             share = -(-limit * given.wanted // wanted)
         return min(given.wanted, share, free)
 
     def _reserve(self, row, limit):
-        """Return what entries that can't be reached may use as fallback."""
+        """Return the slots reserved for the fallback shares of unreachable entries."""
         unreachable = sum(
             entry.state in (events.HostState.SUSPECT, events.HostState.DEAD)
             for entry in self._state.entries
@@ -289,20 +327,20 @@
         return unreachable * slices.fallback_share(self._state, limit)
 
     def _drop_expired(self, now):
-        """Drop slices that have run out, with those of entries that are dead."""
+        """Drop expired slices, unless requests of a live holder may still run."""
         for row in list(self.owned):
-            for holder, given in list(row.given_by_holder.items()):
-                if not given.lasts(now) and not self._may_still_run(holder, given):
-                    del row.given_by_holder[holder]
-            if not row.given_by_holder:
+            for holder, given in list(row.slice_by_holder.items()):
+                if not given.is_valid(now) and not self._may_still_run(holder, given):
+                    del row.slice_by_holder[holder]
+            if not row.slice_by_holder:
                 self.owned.remove(row.key)
 
     def _may_still_run(self, holder, given):
         name, incarnation = holder
         entry = self._state.entries.get(name)
-        lost = (
+        is_gone = (
             entry is None
             or entry.state in (events.HostState.LEFT, events.HostState.DEAD)
             or entry.incarnation > incarnation
         )
-        return given.in_use > 0 and not lost
+        return given.in_use > 0 and not is_gone
