--- a/packages/decide/sesamespindle/decide/membership.py
+++ b/packages/decide/sesamespindle/decide/membership.py
@@ -1,4 +1,9 @@
-"""Who is there: gossip in full inside a data centre, in digests between them."""
+"""Membership of entry hosts, kept by gossip.
+
+Daemons of one data centre exchange the full records of its members. Between data
+centres they exchange one digest for each data centre, and the records only where the
+digests differ.
+"""
 
 import collections
 import dataclasses
@@ -19,15 +24,17 @@
 ROUNDS_BEFORE_SUSPICION = 5
 PEERS_INSIDE = 2
 PEERS_OUTSIDE = 1
-# Rounds with other data centres that all daemons of one begin at a time, if it has so
-# many: news is in each other one after a round or two.
+# Expected number of daemons of one data centre that gossip with another data centre in
+# each round interval, if it has that many: an update reaches every other data centre
+# after one or two rounds.
 ROUNDS_OUTSIDE = 8
 MAX_LEAVING_TARGETS = 256
 MAX_TARGET_VERSIONS = 256
 MAX_PENDING = 64
-# Daemons of each data centre that watch the platform: one may be lost.
+# Daemons of each data centre that watch the platform. With two, one may be lost.
 WATCHERS = 2
-# News of a crash begins a round at once, but so long after the last one.
+# An update about a crash starts a round at once, but no sooner than this after the
+# previous round.
 _CRASH_NEWS_GAP = datetime.timedelta(milliseconds=50)
 _REVIVE_CHANCE = 0.1
 _DEAD_KEPT_FOR = datetime.timedelta(minutes=10)
@@ -43,27 +50,30 @@
 
 
 class Membership:
-    """Keeps the table of entries true, and tells peers of it.
+    """Keeps the table of entry hosts up to date and gossips it to peers.
 
     Parameters
     ----------
     state : world.World
         The shared tables.
     seeds : tuple of str
-        Peer addresses to begin with where the platform is away.
+        Peer addresses to gossip with while no peer is known, such as when the
+        platform is unavailable at start.
     contradicts : bool
-        Whether this daemon takes a higher incarnation than an earlier life of its
-        own is remembered under. Not where the incarnation stands in more than
-        gossip: slices, claims and tickets are kept under the one of the start.
+        Whether this daemon raises its incarnation above the one that peers remember
+        of an earlier process of its own. Must be false where the incarnation is used
+        outside gossip: slices, claims and tickets are stored under the incarnation
+        that the daemon started with.
     gives_up_early : bool
-        Whether a peer that was never heard here is asked in each round, and is dead
-        once it has left a few unanswered. Not where a death frees what its host may
-        still use: a new owner of an account's limit doesn't wait for the slices of
-        a dead host, and a slice may be used for longer than these rounds take.
+        Whether a peer that this daemon has never heard from is contacted in every
+        round, and is considered dead once it has left a few rounds unanswered. Must
+        be false where a death frees something that the host may still use: a new
+        owner of an account's limit doesn't wait for the slices of a dead host, and a
+        slice stays valid for longer than these rounds take.
     store_relay : storerelay.StoreRelay, optional
-        Passes on what KV stores hold, inside the data centre.
+        Propagates the contents of KV stores inside the data centre.
     quarantine : quarantine.Quarantine, optional
-        Passes on which requests crash targets.
+        Propagates which requests crash targets.
     """
 
     def __init__(
@@ -77,7 +87,8 @@
     ):
         self._state = state
         self._quarantine = quarantine
-        # The incarnation of peers of this data centre that were told all crashes.
+        # By peer of this data centre: the incarnation that was sent all known
+        # crashes.
         self._incarnation_told = {}
         self._store_relay = store_relay
         self._seeds = seeds
@@ -94,7 +105,7 @@
         self._pulse_heard_at = {}
 
     def tick(self, now):
-        """Judge silence, and begin rounds of gossip when it is time."""
+        """Check which peers don't respond, and start a gossip round when one is due."""
         self._probes.tick(now)
         self._judge_silence(now)
         is_urgent = self._urgent or self._state.tells_crashes
@@ -105,10 +116,11 @@
             self._tell_pending()
 
     def tell_crashes(self, now):
-        """Begin a round between two ticks if peers are to hear of a crash.
+        """Start a gossip round between two ticks if there is a crash to announce.
 
-        Guards against copies of a request that arrive at other hosts in the tenths of
-        a second that news takes by ticks, and crash a target each.
+        Guards against a request that crashes one target on each host: copies of it
+        reach other hosts within the tenths of a second that an update takes if it
+        waits for ticks. Peers that learn of the crash at once can refuse the copies.
         """
         if not self._state.tells_crashes:
             return
@@ -116,7 +128,7 @@
             self.spread(now)
 
     def spread(self, now):
-        """Begin a round of gossip with a few peers."""
+        """Start a gossip round with a few peers."""
         self._spread_at = now
         self._urgent = self._state.tells_pending = self._state.tells_crashes = False
         me = self._state.entries.get(self._state.me.name)
@@ -135,10 +147,11 @@
             self._quarantine.note_round()
 
     def _tell_pending(self):
-        """Tell peers of this data centre what was sent since the last round.
+        """Send a few peers of this data centre this daemon's current pending work.
 
-        Guards against long prompts of several hosts that meet at one engine while
-        others idle: each knows at once only of its own.
+        Guards against long prompts of several hosts that queue at one engine while
+        other engines idle: without this message a host knows of the prompts of
+        others only after their next gossip round.
         """
         self._state.tells_pending = False
         message = self._brief_message()
@@ -152,7 +165,7 @@
         )
 
     def leave(self, order, now):
-        """Begin to leave, and tell peers at once; a second order changes nothing."""
+        """Start to leave and announce it to peers; a second order changes nothing."""
         if self._state.leaving:
             return
         self._state.departure = departure.begin(order.asked_at or now, order.ends_at)
@@ -163,14 +176,14 @@
         self.spread(now)
 
     def end(self):
-        """Take and send nothing more, as this daemon ends."""
+        """Mark the departure as over: the daemon accepts and sends nothing more."""
         if self._state.leaving:
             self._state.departure = dataclasses.replace(
                 self._state.departure, is_over=True
             )
 
     def has_left(self, now):
-        """Tell peers that nothing of this daemon runs any more."""
+        """Announce to peers that this daemon has left and runs nothing any more."""
         self.end()
         me = self._state.entries.get(self._state.me.name)
         me.state = _State.LEFT
@@ -178,7 +191,7 @@
         self.spread(now)
 
     def receive(self, event, now):
-        """Answer a peer's half of a round with what it lacks."""
+        """Answer a peer's gossip message with the records that the peer lacks."""
         message = event.message
         self._note_heard(message)
         if message.brief:
@@ -199,7 +212,7 @@
         self._state.emit(commands.GossipReply(event.exchange_id, reply))
 
     def answered(self, event, now):
-        """Take a peer's answer in, and send it what it asked for."""
+        """Merge a peer's reply, and send the peer the records that it asked for."""
         self._note_heard(event.message)
         if event.message.brief:
             self._merge_pending(event.message, now)
@@ -218,7 +231,10 @@
             self._state.emit(commands.GossipTo(event.peer_address, message))
 
     def is_reachable(self, data_centre, now):
-        """Return whether a data centre has been heard of lately."""
+        """Return whether a data centre's pulse has risen lately.
+
+        This data centre, and one that no pulse is known of, count as reachable.
+        """
         heard_at = self._pulse_heard_at.get(data_centre)
         if data_centre == self._state.me.data_centre or heard_at is None:
             return True
@@ -227,10 +243,11 @@
     def is_watcher(self):
         """Return whether this daemon watches the platform for its data centre.
 
-        A few do, and the others learn from them, so that the watches on the
-        platform grow with the data centres and not with the fleet. All agree on
-        who they are without talking; a watcher that falls silent is suspected,
-        and the next in rank takes its place.
+        `WATCHERS` daemons of each data centre do, and the others learn of changes
+        from them, so that the number of watches on the platform grows with the number
+        of data centres and not of hosts. Rendezvous hashing over the live entries
+        chooses them without coordination. A watcher that stops responding is
+        suspected and so no longer live, and the next in rank takes its place.
         """
         here = [
             row.name
@@ -240,14 +257,14 @@
         return self._state.me.name in hashing.rank("declarations", here)[:WATCHERS]
 
     def watchers(self):
-        """Return how many daemons of all data centres watch the platform."""
+        """Return how many daemons watch the platform, over all data centres."""
         counts = collections.Counter(
             row.data_centre for row in self._state.live_entries()
         )
         return sum(min(WATCHERS, count) for count in counts.values())
 
     def spread_soon(self):
-        """Have the next tick begin a round of gossip, as something has changed."""
+        """Have the next tick start a gossip round, because something has changed."""
         self._urgent = True
 
     def _note_heard(self, message):
@@ -261,10 +278,11 @@
             )
 
     def _read_again(self, peer_address, seen):
-        """Have kinds read again of which the peer saw a change unknown here.
+        """Request a new read of each kind that the peer has seen change later.
 
-        Guards against a watch that has gone silent, or a platform that turns
-        this host away: the change shows only in what peers say.
+        Guards against stale objects where this host's watch has stopped delivering
+        changes or the platform refuses this host: only the revisions that peers send
+        show that there was a change.
         """
         for item in seen:
             if item.revision > self._state.covered_by_kind.get(item.kind, 0):
@@ -273,15 +291,16 @@
                 )
 
     def _judge_silence(self, now):
-        """Suspect, then give up, members of this data centre that are silent.
+        """Suspect members of this data centre that don't respond, then call them dead.
 
-        Other data centres judge their own members. Suspicion comes first, so
-        that one late message takes nobody out of the table.
+        Other data centres judge their own members. A member is suspected first, so
+        that one late message removes nobody from the table.
         """
         state = self._state
         limit = state.policy.suspect_after
         for name in state.entries.keys_of("data_centre"):
-            # One that is never heard of counts from when it was first known.
+            # The silence of a data centre that is never heard from counts from when
+            # this daemon first knew of it.
             self._pulse_heard_at.setdefault(name, now)
         for row in list(state.entries.where("data_centre", state.me.data_centre)):
             if row.name == state.me.name:
@@ -304,7 +323,7 @@
         self._state.emit(commands.Note(f"entry_{entry_state.value}", row.name))
 
     def _choose_peers(self, now):
-        """Return (address, whether inside) of the peers of one round."""
+        """Return (address, whether in this data centre) of the peers of one round."""
         state = self._state
         here = state.me.data_centre
         inside = self._peers_inside()
@@ -332,10 +351,11 @@
         return [row for row in self._others_inside() if row.state not in _GONE]
 
     def _choose_outside(self):
-        """Return a peer of another data centre, each as likely as any other.
+        """Return a list of at most one peer, of another data centre chosen at random.
 
-        Guards against a data centre that was restarted and is never found again:
-        where all of its hosts have left, they are tried for their return.
+        Guards against a data centre that stays unknown after a restart of all its
+        hosts: a data centre whose hosts have all left or died is still contacted, at
+        the addresses that they had.
         """
         here = self._state.me.data_centre
         others = [name for name in self._state.entries.keys_of("data_centre")]
@@ -352,7 +372,7 @@
         return self._sample(present or known, PEERS_OUTSIDE)
 
     def _has_turn_outside(self):
-        """Return whether this daemon begins a round with another data centre now."""
+        """Return whether this daemon gossips with another data centre in this round."""
         inside = 1 + len(self._peers_inside())
         return self._state.random.random() * inside < ROUNDS_OUTSIDE
 
@@ -360,10 +380,13 @@
         return self._state.random.sample(rows, min(count, len(rows)))
 
     def _is_newly_met(self, message):
-        """Return whether a peer of this data centre has begun no round before.
+        """Return whether a peer's incarnation starts its first round with this daemon.
 
-        Guards against a host that starts while others know of requests which crash
-        targets: what isn't news is told to nobody any more.
+        Only peers of this data centre send digests, so it is false for all others.
+
+        Guards against a host that starts after a crash, never learns of it and lets
+        the request crash its targets too: crashes are sent only for a few rounds
+        while they are new. A newly met peer is sent all known ones.
         """
         incarnation_by_name = {item.name: item.incarnation for item in message.digests}
         incarnation = incarnation_by_name.get(message.sender)
@@ -380,10 +403,16 @@
 
         Parameters
         ----------
+        inside : bool
+            Whether the peer is in this data centre.
+        members : iterable of gossip.Member
+            The records that the peer lacks.
+        wanted : iterable of str
+            Names of the members whose records this daemon asks the peer for.
         their_words : tuple of gossip.StoreWord, optional
-            What the peer knows of KV stores, where it has asked.
+            The positions of KV stores that the peer knows, in a reply to the peer.
         is_newly_met : bool
-            Whether the peer hasn't been told of crashes that are no news.
+            Whether to include the crashes that are no longer sent in every message.
         """
         state = self._state
         crash_news = gossip.CrashNews()
@@ -422,7 +451,7 @@
         )
 
     def _pending(self):
-        """Return what waits at targets from here, the most first."""
+        """Return this daemon's pending work at targets, by falling prompt tokens."""
         pending = [
             gossip.PendingWork(
                 row.life,
@@ -436,11 +465,11 @@
         return tuple(pending[:MAX_PENDING])
 
     def _target_versions(self):
-        """Return the versions that were learned lately.
+        """Return the weight versions of targets that were learned in recent rounds.
 
-        Those of all targets in every message would be most of what an idle daemon
-        does. Who missed the news reads the target's record, or is turned away by the
-        target and learns it then.
+        To send the versions of all targets in every message would be most of the work
+        of an idle daemon. A peer that missed an update learns the version from the
+        target's record, or from the target when it refuses a request.
         """
         versions = [
             gossip.TargetVersion(row.life, model, version, row.revision)
@@ -459,7 +488,7 @@
         return tuple(leaving[:MAX_LEAVING_TARGETS])
 
     def _data_centre_digests(self):
-        """Return one digest for each data centre, worked out once for each view."""
+        """Return one digest for each data centre, computed once for each table view."""
         if self._digests_view != self._state.view:
             self._digests_view = self._state.view
             self._digests = _digest_by_data_centre(self._state.entries)
@@ -470,7 +499,7 @@
         )
 
     def _compare(self, message):
-        """Return our newer records, and the names whose records we lack."""
+        """Return our newer records, and the names whose newer records we lack."""
         newer = {}
         wanted = []
         seen_names = set()
@@ -512,7 +541,7 @@
             self._quarantine.hear(message.crash_news, now)
 
     def _merge_pending(self, message, now):
-        """Take in what a peer has sent, in place of what it told before."""
+        """Replace the sender's pending work at each target by that in its message."""
         for row in self._state.targets:
             row.peer_work_by_entry.pop(message.sender, None)
         for item in message.pending:
@@ -522,7 +551,7 @@
                 row.peer_work_by_entry[message.sender] = work
 
     def _merge_release(self, release):
-        """Take in a released lease; one of a higher epoch goes before."""
+        """Keep a peer's lease release if its epoch is higher than the known one's."""
         known = self._state.lease_release
         if release is None or (known is not None and known.epoch >= release.epoch):
             return
@@ -530,19 +559,20 @@
         self._urgent = True
 
     def _merge_version(self, running):
-        """Take in a version, unless a later record has overtaken it."""
+        """Learn a target's version, unless a later record has lowered it since."""
         row = self._state.target_in(running.life)
         if row is not None and running.revision >= row.fell_at_revision:
             row.learn_version(running.model, running.version)
 
     def _raise_pulse(self, me):
-        """Count a round of this daemon in the pulse of its data centre.
-
-        Guards against hosts that are there and aren't named to callers: a pulse
-        worked out from heartbeats falls when a host starts anew or is replaced,
-        and counts as silence until it has caught up. This one only rises: every
-        member raises the highest value that any daemon has told, other data
-        centres' among them, which remember it when all of its own start anew.
+        """Add a round of this daemon to the pulse of its data centre.
+
+        Guards against live hosts that aren't given to callers: a pulse computed from
+        heartbeats falls when a host restarts or is replaced, and the data centre
+        counts as unreachable until the pulse has caught up. This pulse only rises:
+        every member increments the highest value that any daemon has sent. Daemons of
+        other data centres send it too, and so remember it when all hosts of this data
+        centre restart.
         """
         known = self._pulse_by_data_centre.get(me.data_centre, 0)
         self._pulse_by_data_centre[me.data_centre] = known + 1
@@ -560,15 +590,15 @@
             self._state.emit(commands.Note("target_leaving", row.name, "heard"))
 
     def _merge_member(self, member, inside, now):
-        """Take a record that is newer than ours, by incarnation and heartbeat.
+        """Store a record that is newer than ours, by incarnation and heartbeat.
 
-        At the same heartbeat the worse state goes before the better, so that
-        all daemons come to the same table in whatever order records arrive.
+        At the same incarnation and heartbeat the worse state wins, so that all
+        daemons arrive at the same table in whatever order records come.
 
         Parameters
         ----------
         inside : bool
-            Whether a peer of this data centre tells it.
+            Whether a peer of this data centre sent the record.
         """
         state = self._state
         if member.name == state.me.name:
@@ -581,7 +611,8 @@
         if row is not None and _precedence(member) <= _precedence(row):
             return
         if row is not None and inside and member.state not in _GONE:
-            # Peers of this data centre hear heartbeats, so it speaks to others.
+            # Peers of this data centre exchange heartbeats, so the member does
+            # gossip with one of them.
             self._probes.note_heard(member.name)
         elif row is not None and self._stays_given_up(row, member, now):
             member = dataclasses.replace(member, state=_State.DEAD)
@@ -601,29 +632,31 @@
             )
         )
         if before is not member.state:
-            # News of who leaves or dies is passed on at the next tick, not at
-            # the next round, so that it is everywhere within a second or two.
+            # A member that leaves or dies is announced at the next tick, not in the
+            # next regular round, so that all daemons know within a second or two.
             self._urgent = True
             state.emit(commands.Note(f"entry_{member.state.value}", member.name))
 
     def _stays_given_up(self, row, member, now):
-        """Return whether a record from elsewhere leaves a peer that is given up so.
+        """Return whether a dead peer stays dead despite another data centre's record.
 
-        Guards against a lost host that callers are told of again: data centres
-        know different heartbeats of it, all of before its loss, and one that
-        knows a higher one than this daemon would have it back for a while.
+        Guards against a lost host that is given to callers again: data centres know
+        different heartbeats of it, all from before its loss. A record with a higher
+        heartbeat than is known here would make it live for a while. Such a record
+        counts for nothing while the startup probes say that the peer has failed.
         """
         if row.state is not _State.DEAD or row.incarnation != member.incarnation:
             return False
         return member.state not in _GONE and self._probes.has_failed(row, now)
 
     def _merge_own(self, member, now):
-        """Take in what others know of an earlier life of this daemon.
+        """Merge what peers know of an earlier incarnation of this daemon.
 
-        Guards against a host that serves and that nobody is told of: its clock
-        was set back since its last start, so its number is below that of the
-        life before, and what it says is taken for old news. It takes a higher one.
-        A record of another address is of another host and stays as it is.
+        Guards against a live host that no caller is given: its clock was set back
+        before this start, so its incarnation is lower than that of its previous
+        process, and peers ignore its messages as outdated. It raises its incarnation
+        above the remembered one. A record with another peer address belongs to
+        another host, and doesn't raise it.
         """
         me = self._state.entries.get(member.name)
         if member.incarnation > me.incarnation:
@@ -663,10 +696,12 @@
 
 
 def _digest(rows):
-    """Return one number for all that other data centres must know of hosts.
+    """Return a hash of all that other data centres must know of these hosts.
 
-    Guards against a host that could serve but that nobody was told of: its
-    address becomes known after its record has gone round without one.
+    Guards against a live host that other data centres never give to callers: its
+    record spreads without an address first, and the address follows once the host can
+    serve. The hash covers the address, so the digests differ and the record is sent
+    again.
     """
     parts = sorted(
         f"{row.name}/{row.incarnation}/{_RANK_BY_STATE[row.state]}/{row.url}"
