--- a/packages/decide/sesamespindle/decide/gossip.py
+++ b/packages/decide/sesamespindle/decide/gossip.py
@@ -1,4 +1,4 @@
-"""What daemons tell each other of themselves, the platform and targets."""
+"""Gossip messages between daemons: members, declarations, targets and KV stores."""
 
 import dataclasses
 import datetime
@@ -8,14 +8,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Member:
-    """What one daemon says of another, or of itself.
+    """One daemon's record of another, or of itself.
 
     Attributes
     ----------
     heartbeat : int
-        Rises with every round of gossip of the member itself.
+        Rises with every gossip round that the member itself starts.
     revision : int
-        The revision of the declarations that the member has in force.
+        The revision of the member's active configuration.
     """
 
     name: str
@@ -31,7 +31,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MemberDigest:
-    """The age of a record, by which peers see whose is newer."""
+    """The age of a member's record, by which peers see whose copy is newer."""
 
     name: str
     incarnation: int
@@ -40,13 +40,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DataCentreDigest:
-    """All records of a data centre in one number.
+    """A hash of all member records of a data centre, and its pulse.
 
     Attributes
     ----------
     pulse : int
-        Rises with every round of any of its members, and stands still when the
-        data centre is lost.
+        Rises with every gossip round that any member of the data centre starts, and
+        stops rising when the data centre is lost.
     """
 
     name: str
@@ -56,9 +56,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeavingTarget:
-    """A life of a target that must get no new work.
+    """An incarnation of a target that must get no new work.
 
-    Where lives aren't told a new address makes a target new again.
+    Where the platform doesn't tell start times, the address tells incarnations apart:
+    the message applies only to a target that is still at `url`.
     """
 
     life: lives.Life
@@ -67,7 +68,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SeenRevision:
-    """The revision of the latest change of a kind of object that was seen."""
+    """The revision of the latest change to a kind of object that the sender saw."""
 
     kind: str
     revision: int
@@ -92,14 +93,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PendingWork:
-    """What the sender's requests take of a target.
+    """The load that the sender's requests put on a target.
 
     Attributes
     ----------
     tokens : int
-        Prompt tokens that wait to be read.
+        Prompt tokens that wait for prefill.
     held_tokens : int
-        Tokens of memory that its requests need until they end.
+        Tokens of KV cache that its requests need until they end.
     """
 
     life: lives.Life
@@ -109,12 +110,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaseRelease:
-    """A holder will never act under a lease's epoch again.
+    """A holder's promise that it never acts under a lease's epoch again.
 
     Attributes
     ----------
     last_act_at : datetime.datetime
-        When it last acted, by the clock of whoever has this record.
+        When the holder last acted, by the clock of the host that keeps this record.
     """
 
     epoch: int
@@ -123,16 +124,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreWord:
-    """Up to where the sender knows a KV store.
+    """How far the sender knows the changes of a KV store.
 
     Attributes
     ----------
     boot : int
-        The start of the store that `position` is of.
+        Identifies the start of the store that `position` counts from.
+    position : int
+        The store's latest change that the sender knows.
     told_at : datetime.datetime
-        When it was last known whether the store answers.
+        When it was last known whether the store responds.
     is_silent : bool
-        Whether it didn't then.
+        Whether the store did not respond then.
     clock_lead : float or None
         Milliseconds by which the engines' clock is ahead.
     """
@@ -147,14 +150,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreNews:
-    """What the receiver lacks of a KV store.
+    """The changes of a KV store that the receiver lacks.
 
     Attributes
     ----------
+    boot : int
+        Identifies the start of the store that the positions count from.
     since : int
-        The position from which changes are told; 0 with a whole list.
+        The position after which the changes follow; 0 with a whole list.
+    position : int
+        The position that the receiver reaches by these changes.
+    whole_list : bool
+        Whether `parts` is all that the store holds.
     parts : tuple of kvstores.PartEvent
-        What has changed, or all that it holds.
+        What has changed, or all that the store holds.
     """
 
     store: str
@@ -167,16 +176,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetCrash:
-    """A life of a target that ended with requests under way.
+    """An incarnation of a target that ended with requests in flight.
 
     Attributes
     ----------
     at : datetime.datetime
-        By the clock of whoever has this record.
+        When it ended, by the clock of the host that keeps this record.
     suspects : tuple of str
-        The fingerprints of requests that were under way there.
+        The fingerprints of the requests that were in flight there.
     is_refuted : bool
-        Whether the life was seen to go on after all.
+        Whether the incarnation turned out to be still running.
     """
 
     life: lives.Life
@@ -188,7 +197,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClearedRequest:
-    """A request did no harm up to a time, by the clock of whoever has this record."""
+    """A request that crashed no target up to a time.
+
+    Attributes
+    ----------
+    at : datetime.datetime
+        That time, by the clock of the host that keeps this record.
+    """
 
     fingerprint: str
     at: datetime.datetime
@@ -196,18 +211,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QuarantinedRequest:
-    """A request that is refused because targets crash under it.
+    """A request that is refused because it crashes targets.
 
     Attributes
     ----------
     decided_at : datetime.datetime
-        By the clock of whoever has this record.
+        When it was quarantined, by the clock of the host that keeps this record.
     crashes : int
-        Targets that had crashed under it then.
+        The number of targets that it had crashed then.
     tries : int
-        How often it was let through since then, to see whether its cause is mended.
+        How often it was let through since then, to see whether the fault is fixed.
     revision : int
-        Of its record on the platform; 0 while it isn't known to be there.
+        The revision of its record on the platform; 0 while none is known there.
     """
 
     fingerprint: str
@@ -228,12 +243,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GossipMessage:
-    """One half of a round of gossip.
+    """One message of a gossip round: the caller's request or the peer's reply.
 
     Attributes
     ----------
     brief : bool
-        Whether it tells of pending work only, between two rounds.
+        Whether the message carries only pending work, between two rounds.
     """
 
     sender: str
@@ -257,7 +272,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GossipReceived:
-    """A peer began a round; a `commands.GossipReply` follows."""
+    """A peer's gossip message arrived; a `commands.GossipReply` must follow."""
 
     exchange_id: str
     message: GossipMessage
@@ -265,7 +280,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GossipAnswered:
-    """A peer answered our half of a round."""
+    """A peer replied to this daemon's gossip message."""
 
     peer_address: str
     message: GossipMessage
