--- a/packages/decide/sesamespindle/decide/departure.py
+++ b/packages/decide/sesamespindle/decide/departure.py
@@ -1,43 +1,47 @@
-"""What a host that leaves still takes, and when it ends."""
+"""Which requests a leaving host still accepts, and when its process ends."""
 
 import dataclasses
 import datetime
 
-# Callers that keep an address may not know sooner than this that its host
-# leaves: peers hear of it within one second and callers ask again after another.
-# Some callers keep an address longer; they are refused and go elsewhere.
+# A caller that caches an address may learn only after this time that its host is
+# leaving: peers learn it within one second, and callers look addresses up again after
+# another second. Callers that cache an address longer are refused and go to another
+# host.
 _CALLERS_LEARN_WITHIN = datetime.timedelta(seconds=2.5)
-# A host with little time stops earlier, so that what it takes last still has two
-# thirds of that time to be answered.
+# With a short time until its end, a host stops accepting all requests after this share
+# of it, so that the last ones still have two thirds of the time to be answered.
 _OPEN_SHARE = 1 / 3
-# What is kept of the grace time for closing connections, which takes 0.2 s on a
-# played host: more would cut off long answers that are nearly done. Of a short
-# grace time it is half of the last sixth, as no answer may be given up before it.
+# The end of the grace time that is reserved for closing connections, which takes 0.2 s
+# on a simulated host: reserving more would cut off long answers that are nearly
+# complete. In a short grace time it is half of the last sixth, because no answer may
+# be abandoned before the last sixth starts.
 _CLOSING_TIME = datetime.timedelta(milliseconds=300)
 _CLOSING_SHARE = 1 / 12
-# How long before it was handled an order to leave may have come, as a part of the
-# grace time: less than the other half of its last sixth, so that a host that counts
-# from too early still ends inside it. One that was frozen for longer can't know.
+# The longest delay, as a share of the grace time, that is assumed between the arrival
+# of an order to leave and its handling. It is less than the other half of the last
+# sixth, so that a host that assumes too early an arrival still ends inside that sixth.
+# A host that was frozen for longer can't know when the order arrived.
 _HANDLED_SHARE = 1 / 16
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Departure:
-    """How a host leaves.
+    """The schedule by which a host leaves.
 
-    Guards against an answer that is cut off because it was begun too late: a
-    host that takes whatever comes for a fixed time takes what lasts longer than
-    the host itself. Here each request's own end is held against the host's.
+    Guards against an answer that is cut off because its request was accepted too late:
+    a host that accepts all requests for a fixed time also accepts those that last
+    longer than the host itself. Here the end of each request is compared with the end
+    of the host.
 
     Attributes
     ----------
     open_until : datetime.datetime
-        Until then all requests are taken, as callers can't know yet.
+        Until then all requests are accepted, as callers can't know yet.
     ends_at : datetime.datetime
         When every request gets its final answer and the process ends.
     is_over : bool
-        Whether the host ends now, perhaps sooner than planned, as it had nothing
-        to do: nothing is taken or sent any more.
+        Whether the host ends now, perhaps sooner than planned because no work was
+        left: nothing is accepted or sent any more.
     """
 
     open_until: datetime.datetime
@@ -45,36 +49,47 @@
     is_over: bool = False
 
     def may_cut_off(self, until):
-        """Return whether a request that has time until then may outlast the host.
+        """Return whether the host's end may cut off a request.
 
-        What has its final answer before the host ends can't be cut off by it.
+        Parameters
+        ----------
+        until : datetime.datetime
+            The request's deadline, by which it has its final answer.
         """
         return self.is_over or until > self.ends_at
 
     def takes(self, until, now):
-        """Return whether a request is taken that may be asked for again if cut off.
+        """Return whether to accept a request that can be retried if it is cut off.
 
-        A call that may run once is taken only if the host can't cut it off, as
-        nobody could know whether it ran.
+        For a call that may run at most once use `may_cut_off` alone: it is accepted
+        only if the host can't cut it off, as nobody could know whether it ran.
+
+        Parameters
+        ----------
+        until : datetime.datetime
+            The request's deadline.
+        now : datetime.datetime
+            The present.
         """
         is_open = not self.is_over and now < self.open_until
         return is_open or not self.may_cut_off(until)
 
 
 def asked_at(ran_at, now, grace):
-    """Return the earliest time at which an order to leave may have come.
+    """Return the earliest time at which an order to leave may have arrived.
 
-    Guards against a busy host that counts its time from when it handles the
-    order: it would be killed before its last answers are out.
+    Guards against a busy host that counts its grace time from when it handles the
+    order: the grace time started when the order arrived, so the process would be killed
+    before its last answers are sent.
 
     Parameters
     ----------
     ran_at : datetime.datetime
-        When the host was last seen to run, without an order.
+        When the process last ran without having received an order.
     now : datetime.datetime
-        The present.
+        When it handles the order.
     grace : datetime.timedelta
-        After this the process is killed.
+        The time between the order and the kill of the process.
     """
     return max(ran_at, now - grace * _HANDLED_SHARE)
 
@@ -85,22 +100,22 @@
     Parameters
     ----------
     asked : datetime.datetime
-        When it was asked to, at the earliest.
+        The earliest time at which the order to leave may have arrived.
     ends_at : datetime.datetime
-        When it ends at the latest.
+        The latest time at which the host ends.
     """
     open_for = min(_CALLERS_LEARN_WITHIN, (ends_at - asked) * _OPEN_SHARE)
     return Departure(asked + open_for, ends_at)
 
 
 def latest_end(asked, grace):
-    """Return when a host must end that is killed after a grace time.
+    """Return the time by which a host must end to avoid being killed.
 
     Parameters
     ----------
     asked : datetime.datetime
-        When the grace time began, at the earliest.
+        The earliest time at which the grace time may have started.
     grace : datetime.timedelta
-        After this the process is killed.
+        The time between the order to leave and the kill of the process.
     """
     return asked + grace - min(_CLOSING_TIME, grace * _CLOSING_SHARE)
