--- a/packages/decide/sesamespindle/decide/startupprobes.py
+++ b/packages/decide/sesamespindle/decide/startupprobes.py
@@ -1,25 +1,26 @@
-"""Asking peers of whom a daemon that has just started knows only by others."""
+"""Probing of peers that a daemon which has just started knows only from others."""
 
 import dataclasses
 import datetime
 
-# Rounds of gossip that a peer may leave unanswered. It is asked itself in each, and
-# one that is there answers within some ms: three allow for a lost message and for a
-# stall of two rounds on either side.
+# Gossip rounds that a peer may leave unanswered. It is contacted directly in each, and
+# a live peer replies within some milliseconds. Three rounds allow for a lost message
+# and for a stall of two rounds on either side.
 UNANSWERED_ROUNDS = 3
-# Rounds in which it is asked in all. One that was only slow is there again at its
-# first answer; two silences of `suspect_after` are borne of peers that were heard.
+# Rounds in which a peer is contacted in all, also after it has failed: a peer that was
+# only slow counts as live again from its first reply. Afterwards, and for peers that
+# were heard from, the usual limit of twice `suspect_after` applies.
 ASKED_ROUNDS = 10
 
 
 @dataclasses.dataclass(slots=True)
 class Probe:
-    """How often an incarnation of a peer was asked, and when last.
+    """How often an incarnation of a peer was contacted, and when last.
 
     Attributes
     ----------
     failed : bool
-        Whether it left so many rounds unanswered that it counts as gone.
+        Whether it left so many rounds unanswered that it is considered dead.
     """
 
     incarnation: int
@@ -29,23 +30,23 @@
 
 
 class StartupProbes:
-    """Finds out whether peers live that haven't been heard since the start.
+    """Finds out which peers are live that haven't been heard from since the start.
 
-    Guards against callers that are told of a lost host for long: who tells a
-    daemon that starts can't say when the host last spoke, as heartbeats aren't
-    told between data centres and a record in the platform's list has none. A
-    silence counted from then on begins anew with each start. Here the peer is
-    asked itself in each round, and rounds are counted in place of time.
+    Guards against callers that are given a lost host for long. A daemon that starts
+    can't learn when the host was last heard from: heartbeats aren't sent between data
+    centres, and a record in the platform's list has none. A silence counted from the
+    daemon's start begins at zero with each start. Here the daemon contacts the peer
+    itself in each gossip round, and counts unanswered rounds in place of time.
 
-    A live peer isn't given up where the daemon itself stood still: each round that
-    counts began an interval after the one before, and the last had an interval to
-    be answered in which the daemon ran. One that stood still itself is back at its
-    next word, as its heartbeat is then above that of the record with its death.
+    A pause of the daemon itself makes no live peer fail: each counted round starts an
+    interval after the one before, and the last round leaves the peer an interval in
+    which the daemon runs to reply. A peer that was paused is live again with its next
+    message, because its heartbeat is then above that of the record that calls it dead.
 
     Parameters
     ----------
     interval : datetime.timedelta
-        Between two rounds of gossip.
+        The time between two gossip rounds.
     """
 
     def __init__(self, interval):
@@ -55,20 +56,20 @@
         self._last_tick = None
 
     def note_heard(self, name):
-        """Ask a peer no more, as it has spoken or is known to speak to others."""
+        """Stop probing a peer that has gossiped with this daemon or with others."""
         self._heard.add(name)
         self._probe_by_name.pop(name, None)
 
     def forget(self, name):
-        """Forget a peer that is out of the table."""
+        """Forget a peer that was removed from the table."""
         self._heard.discard(name)
         self._probe_by_name.pop(name, None)
 
     def tick(self, now):
-        """Give peers another interval where this daemon stood still.
+        """Give peers another interval to reply after a pause of this daemon.
 
-        Guards against peers that are given up for answers which lie unread: a
-        daemon that wakes from a pause judges before it reads.
+        Guards against live peers that fail although their replies have arrived: a
+        daemon that wakes from a pause judges its peers before it reads its messages.
         """
         if self._last_tick is not None and now - self._last_tick >= self._interval:
             for probe in self._probe_by_name.values():
@@ -76,9 +77,10 @@
         self._last_tick = now
 
     def begin_round(self, rows, now):
-        """Return the rows of those that are to be asked in a round, and count it.
+        """Return the rows of the peers to contact in a round, and count the round.
 
-        Rounds that follow at once, as there is news, count as one.
+        Rounds that follow within an interval, because there is an update to send,
+        count as one.
         """
         due = [row for row in rows if self._is_due(row, now)]
         for row in due:
@@ -88,7 +90,7 @@
         return due
 
     def has_failed(self, row, now):
-        """Return whether a peer that was never heard is taken for gone."""
+        """Return whether a peer that was never heard from is considered dead."""
         if row.name not in self._probe_by_name:
             return False
         probe = self._probe(row)
@@ -106,7 +108,7 @@
         return probe.asked_at is None or now - probe.asked_at >= self._interval
 
     def _probe(self, row):
-        """Return the probe of a row's incarnation; a new one is asked anew."""
+        """Return the probe of a row's incarnation; a new one starts at zero rounds."""
         probe = self._probe_by_name.get(row.name)
         if probe is None or probe.incarnation != row.incarnation:
             probe = self._probe_by_name[row.name] = Probe(row.incarnation)
