--- a/packages/decide/sesamespindle/decide/targetlist.py
+++ b/packages/decide/sesamespindle/decide/targetlist.py
@@ -1,4 +1,8 @@
-"""Keeping the table of targets in step with a platform that lists incarnations."""
+"""Synchronisation of the table of targets with the platform's list of targets.
+
+The platform lists incarnations: a target that restarts may keep its name, and then
+differs from its previous incarnation by its start time.
+"""
 
 import collections
 import dataclasses
@@ -6,12 +10,12 @@
 
 from sesamespindle.decide import commands, declared, lives, world
 
-# A target that has vanished from the list is used for this long if nothing else
-# is left. Half of the shortest time that users allow between a removal and the
-# last request that reaches the target.
+# A target that has disappeared from the list stays in the table for this long, and is
+# used if no listed one is left. This is half of the shortest time that users allow
+# between a removal and the last request that reaches the target.
 _VANISHED_USED_FOR = datetime.timedelta(seconds=1)
-# Entries that lapsed while the platform was away are back this long after its
-# return, by the platform's own word, and half a second for the reading.
+# Records that expired while the platform was unavailable reappear within 2 s of its
+# return, as the platform states; the other half second is for reading them.
 _LAPSED_USED_FOR = datetime.timedelta(seconds=2.5)
 _NOT_COLD = datetime.timedelta(0)
 
@@ -25,9 +29,10 @@
     revision : int
         The platform's revision at the last change of this record.
     born : int or None
-        Milliseconds since the epoch at its start; None where it doesn't tell.
+        Start time, in milliseconds since the epoch; None where the record has none.
     cold_for : datetime.timedelta or None
-        How much longer it bears few requests; None for as long as its service says.
+        The rest of its warm-up, in which it handles few requests; None for the time
+        that its service declares.
     """
 
     name: str
@@ -43,32 +48,33 @@
 
     @property
     def life(self):
-        """The `lives.Life` that the record is about."""
+        """The `lives.Life`, that is the incarnation, which the record describes."""
         return lives.Life(self.name, self.born or 0)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetsListed:
-    """The whole list of targets."""
+    """The platform's whole list of targets was read."""
 
     targets: tuple[ListedTarget, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetChanged:
-    """One target is new or has changed."""
+    """One target's record is new or has changed."""
 
     target: ListedTarget
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetRemoved:
-    """A life of a target is no longer listed.
+    """An incarnation of a target is no longer listed.
 
     Attributes
     ----------
     born : int or None
-        The start of the life that is over; None where it isn't known, for any.
+        The start time of the incarnation that ended; None where it isn't known, which
+        matches any incarnation.
     """
 
     name: str
@@ -77,7 +83,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetUnreadable:
-    """Another writer has changed a target's record, which names no target now.
+    """Another writer has changed a target's record, which now describes no target.
 
     Attributes
     ----------
@@ -91,11 +97,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlatformBack:
-    """The platform answers again after it did not."""
+    """The platform is available again."""
 
 
 class TargetList:
-    """Adopts what the platform lists, and forgets what it no longer does.
+    """Keeps the table of targets equal to the platform's list.
+
+    Records that the platform lists are adopted. Targets that it no longer lists are
+    removed after a grace period.
 
     Parameters
     ----------
@@ -108,7 +117,7 @@
         self._platform_back_at = None
 
     def take(self, event, now):
-        """Take in one of this module's events; return whether it was one."""
+        """Handle one of this module's events; return whether it was one."""
         match event:
             case TargetsListed():
                 self._adopt_all(event.targets, now)
@@ -126,18 +135,20 @@
         return True
 
     def tick(self, now):
-        """Forget targets that have been missing for long enough."""
+        """Remove targets that have been missing from the list for long enough."""
         for row in list(self._state.targets):
             if row.missing_since is not None and now >= self._kept_until(row):
                 self._state.drop_target(row.name)
                 self._state.emit(commands.Note("target_forgotten", row.name))
 
     def _kept_until(self, row):
-        """Return when a missing target is given up.
+        """Return until when a missing target is kept.
 
-        Guards against a platform that was away and lists nobody when it comes
-        back: all targets would be refused although they serve. Where others
-        of the service are still listed, a missing target is really gone.
+        Guards against requests that fail for lack of a target although all targets
+        serve: a platform that was unavailable may list no targets when it returns. So
+        targets are kept longer while the whole service is missing, and just after the
+        platform's return. Where other targets of the service are still listed, a
+        missing one has really ended.
         """
         alone = all(
             other.missing_since is not None
@@ -172,19 +183,21 @@
             self._state.drop_target(name)
 
     def _remove(self, removed, now):
-        """Take a target's record as gone, unless it is of a life before the known."""
+        """Mark a target as missing, unless an earlier incarnation was removed."""
         row = self._state.targets.get(removed.name)
         if row is not None and (removed.born is None or removed.born >= row.born):
             self._vanish(removed.name, now)
 
     def _supersede(self, fresh, revision):
-        """Set the target aside that had a new one's address before.
-
-        Guards against prompts that go to a dead engine as their home, and calls
-        that are turned away unread by its successor: the record of a target that
-        crashed stays for some heartbeats, beside that of the next at its address.
-        If the new record names nobody, the target there says so, and is used again;
-        one of a service that isn't known is never asked and sets nobody aside.
+        """Stop the use of a target whose address a new target has taken over.
+
+        Guards against prompts that go to a dead engine as their preferred engine, and
+        against calls that its successor rejects: the record of a crashed target
+        stays listed for some heartbeats beside that of the next target at its address.
+        If the new record is wrong, the target at the address rejects a request for
+        the new one; the new record is then dropped and the old target used again. A
+        new record of an unknown service gets no requests, so that its error would
+        never show, and it stops the use of no target.
         """
         if fresh.pool not in self._state.service_names:
             return
@@ -199,7 +212,10 @@
                 )
 
     def _set_aside(self, name, revision):
-        """Give a target no request until its own record is back, unless it is."""
+        """Send a target no request until its own record is listed again.
+
+        Does nothing if a later record of the target is already known.
+        """
         row = self._state.targets.get(name)
         if row is None or not row.listed or 0 < revision < row.revision:
             return
@@ -207,16 +223,16 @@
         self._state.emit(commands.Note("target_set_aside", name, "its record"))
 
     def _adopt(self, target, births_are_told, now):
-        """Take a record in, unless a later one overtook it.
+        """Adopt a target's record, unless a later one is known.
 
-        Guards against late news of a life that is over: an old copy of the list
-        would have its row back in place of the one of the life that runs.
+        Guards against an outdated record of an incarnation that has ended: an old copy
+        of the list would put its row in place of that of the running incarnation.
 
         Parameters
         ----------
         births_are_told : bool
-            Whether targets of the service tell when they started. A record that
-            doesn't is then by another writer, and names no target to use.
+            Whether records of the service contain start times. A record without one
+            then comes from another writer, and describes no target that can be used.
         """
         row = self._state.targets.get(target.name)
         if target.born is None and (births_are_told or (row and row.born)):
@@ -259,7 +275,7 @@
             self._state.emit(commands.Note("target_leaving", row.name, "listed"))
 
     def _adopt_cold_time(self, row, target, now):
-        """Take in how much longer a target is cold, by a record that is news."""
+        """Set until when a target is cold, by a record newer than the known one."""
         cold_for = target.cold_for
         if cold_for is None:
             cold_start = self._state.cold_start_by_service.get(row.pool)
@@ -272,13 +288,16 @@
 
 
 def _note_if_cold(state, row, before, now):
-    """Log that a target turned cold."""
+    """Log a target that has become cold."""
     if row.cold_until is not None and (before is None or before <= now):
         seconds = (row.cold_until - now).total_seconds()
         state.emit(commands.Note("target_cold", row.name, f"for {seconds:.1f} s"))
 
 
 def _tell_births(targets):
-    """Return whether half of the targets, listed ones or rows, tell their starts."""
+    """Return whether at least half of the targets, records or rows, have start times.
+
+    False if none has one.
+    """
     told = sum(bool(target.born) for target in targets)
     return told > 0 and 2 * told >= len(targets)
