--- a/packages/decide/sesamespindle/decide/lease.py
+++ b/packages/decide/sesamespindle/decide/lease.py
@@ -1,29 +1,34 @@
-"""A lease in the platform's store, held by one entry host at a time."""
+"""A lease in the platform's store, held by one entry host at a time.
+
+The holder gives orders to engines, for example to load new weights. These orders are
+called acts here.
+"""
 
 import dataclasses
 import datetime
 
 from sesamespindle.decide import commands, gossip, hashing
 
-# The holder acts for this part of the lease's time after it last renewed it,
-# counted from before the renewal was sent, and renews three times as often.
+# The holder may act for this share of the lease's duration after its last renewal,
+# counted from when the renewal was sent. It renews three times as often.
 _ACTING_SHARE = 0.5
 _RENEW_SHARE = 1 / 6
-# Another host takes the lease over once it has seen it unchanged for the time
-# that the holder may act, a whole lease time in which the holder can't have
-# acted, and this much for clocks that run apart.
+# Another host takes the lease over once it has seen it unchanged for the time in which
+# the holder may act, plus a whole lease duration in which the holder can't have acted,
+# plus this margin for clocks that run at different speeds.
 _MARGIN = datetime.timedelta(milliseconds=300)
-# A candidate looks this often; only the first two of the fleet that are there are
-# candidates.
+# A candidate reads the lease at intervals of this share of its duration. Only the first
+# two live hosts of the fleet, by rendezvous hashing, are candidates.
 _LOOK_SHARE = 1 / 3
 _CANDIDATES = 2
-# Where a lease that was given up isn't taken, one more host stands in as a candidate
-# each time this has passed: a candidate that reaches the store takes it within the
-# lease's time and a look. At most so many do, as the store may be away for all.
+# While a lease that its holder released isn't taken, one more host becomes a stand-in
+# candidate after each such interval: a candidate that reaches the store takes the lease
+# within its duration and one read interval. The number of stand-ins is limited, as the
+# store may be unavailable for all hosts.
 _STAND_IN_AFTER = datetime.timedelta(seconds=2)
 _MOST_STAND_INS = 6
-# An idle lease is taken over once it wasn't renewed for this many renewals. That
-# is no matter of safety: it keeps a lease from changing hands for one lost call.
+# An idle lease is taken over after the time of this many renewals without one. Safety
+# doesn't need this wait; it keeps a lease from changing hands for one lost call.
 _IDLE_MISSED_RENEWALS = 2.5
 _RETRY_AFTER = datetime.timedelta(milliseconds=500)
 
@@ -35,15 +40,17 @@
     Attributes
     ----------
     holder : str
-        Name, incarnation and peer address of the holder, with slashes between;
+        Name, incarnation and peer address of the holder, separated by slashes;
         without the address in records of earlier releases.
     epoch : int
-        Rises with every change of the holder; targets compare it.
+        The fencing token: rises with every change of the holder, and targets compare
+        it.
     renewals : int
-        Writes that the holder has sent, so that no two of its writes are equal.
+        The number of writes that the holder has sent, so that no two of them are
+        equal.
     idle : bool
-        Whether no act can follow under it before it is written anew, and the last
-        one was a lease time ago when this was written.
+        Whether the holder doesn't act before it has written the record again, and its
+        last act was at least a lease duration old when it sent this one.
     """
 
     holder: str
@@ -54,12 +61,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadLease:
-    """Read the lease."""
+    """Command: read the lease."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WriteLease:
-    """Write the lease in place of the revision that was read; 0 to create it."""
+    """Command: write the lease if the store still has revision `replaces`.
+
+    A `replaces` of 0 creates the lease.
+    """
 
     record: LeaseRecord
     replaces: int
@@ -67,7 +77,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaseFound:
-    """The lease as it was read, or as a write met it; no record if none."""
+    """Event: a read returned the lease, or a write found this other revision.
+
+    The record is None if the store has none.
+    """
 
     record: LeaseRecord | None
     revision: int
@@ -75,7 +88,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaseWritten:
-    """A write of ours took effect."""
+    """Event: a write of this host took effect."""
 
     record: LeaseRecord
     revision: int
@@ -83,38 +96,40 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaseUnknown:
-    """A read or write got no answer; a write may yet take effect."""
+    """Event: a read or write got no answer; a write may still take effect."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Wait:
-    """Until when a lease must be left alone, and what for."""
+    """Until when another host must not take the lease over, and why."""
 
     until: datetime.datetime
     reason: str
 
 
 class Lease:
-    """Decides when to take, renew and give back the lease.
+    """Decides when to take, renew and release the lease.
 
-    No clocks of two hosts are compared. The holder counts from before it sent
-    a renewal; others count from when they first saw that renewal, which is
-    later. A holder that was paused finds its time over when it wakes up.
+    Clocks of two hosts are never compared. The holder counts from when it sent a
+    renewal; others count from when they first saw that renewal, which is later. A
+    holder that was paused finds its lease expired when it wakes up.
 
-    A holder that has nothing to do says in the record that it is idle, once its
-    last act is a lease time old, and writes that it is not before it acts again.
-    Writes replace a known revision, so of that write and one that takes the idle
-    lease over only one takes effect, and others needn't wait for acts under it: one
-    whose holder is lost is taken within 1.5 s, in place of 5 s.
+    A holder that has nothing to do marks the record as idle, once its last act is a
+    lease duration old, and writes it as not idle before it acts again. A write takes
+    effect only on the revision that it replaces, so either that write or a write that
+    takes over the idle lease takes effect, never both. Therefore others needn't wait
+    for acts under an idle lease: they take it within 1.5 s of the loss of its holder,
+    in place of 5 s.
 
     Parameters
     ----------
     state : world.World
         The shared tables.
     duration : datetime.timedelta
-        How far apart the acts of two holders must lie.
+        The least time between the acts of two holders.
     reachable : callable
-        Whether a data centre has been heard of lately, at a time.
+        Takes the name of a data centre and the present time, and returns whether the
+        data centre has been heard from lately.
     """
 
     def __init__(self, state, duration, reachable):
@@ -128,7 +143,7 @@
         self._seen_at = None
         self._held_from = None
         self._sent_at = None
-        # The last write that was sent, and when.
+        # The last write that was sent, and when it was sent.
         self._written = None
         self._written_at = None
         self._writes = 0
@@ -140,19 +155,19 @@
         self._leaving = False
         self._acted_at = None
         self._wanted_at = None
-        # Whether the record says that the lease is idle, or may yet by a write that
-        # is under way.
+        # Whether the stored record is idle, or may become so by a write in flight.
         self._maybe_idle = True
         self._was_idle = False
         self._released_epoch = 0
         self._highest_epoch = 0
-        # The latest epoch that was heard to be given up, by any host, and since when.
+        # The highest epoch that any host is known to have released, and since when
+        # this host knows.
         self._given_up_epoch = 0
         self._given_up_at = None
 
     @property
     def epoch(self):
-        """The epoch of the lease as it was last seen."""
+        """The epoch of the lease as it was last seen; 0 if there was none."""
         return self._record.epoch if self._record is not None else 0
 
     def is_held(self, now):
@@ -164,15 +179,18 @@
     def may_act(self, now):
         """Return whether this host may act as the holder now.
 
-        Guards against orders of two hosts within a lease time: a host that finds
-        the lease idle takes it without waiting for acts of its holder. From when
-        a write that says idle is sent, until a later one that says the opposite
-        is known to have taken effect, the holder doesn't act.
+        Guards against orders of two hosts within a lease duration: a host that finds
+        the lease idle takes it over without a wait for the acts of its holder. So the
+        holder doesn't act from when it sends a write with `idle` set until a later
+        write without it is known to have taken effect.
         """
         return self.is_held(now) and not self._maybe_idle
 
     def ask_to_act(self, now):
-        """Have the lease let this host act as soon as it holds it."""
+        """Request that this host may act as soon as it holds the lease.
+
+        A held lease that is idle is written as not idle at once.
+        """
         self._wanted_at = now
         if self._leaving or self._busy or not self.is_held(now):
             return
@@ -180,11 +198,11 @@
             self._renew(now)
 
     def note_act(self, now):
-        """Remember that the holder has acted."""
+        """Record that this host has acted as the holder."""
         self._acted_at = now
 
     def tick(self, now):
-        """Renew, look or take over when it is time."""
+        """Renew, read, release or take over the lease when it is due."""
         self._started_at = self._started_at or now
         self._note_given_up(now)
         if self._mine() and not self.is_held(now):
@@ -197,7 +215,7 @@
             self._renew(now)
 
     def take(self, event, now):
-        """Take in one of this module's events; return whether it was one."""
+        """Handle one of this module's events; return whether it was one."""
         match event:
             case LeaseFound():
                 self._busy = False
@@ -205,7 +223,7 @@
             case LeaseWritten():
                 self._confirm(event, now)
             case LeaseUnknown():
-                # Whether a write took effect shows when the lease is read.
+                # Only another read shows whether a write took effect.
                 self._busy = False
                 self._next_look = self._next_take = now + _RETRY_AFTER
                 if self._mine():
@@ -215,7 +233,10 @@
         return True
 
     def give_back(self, now):
-        """Leave the lease to others, who still wait until no act can follow."""
+        """Release the lease for good, as this host leaves.
+
+        Other hosts still wait until its last act is a lease duration old.
+        """
         self._leaving = True
         if self._mine():
             self._release(now)
@@ -224,7 +245,11 @@
         self._write(self.epoch, now, not self._is_needed(now))
 
     def _is_needed(self, now):
-        """Return whether acts are wanted, or one is less than a lease time old."""
+        """Return whether an act was requested lately, or the last one is too recent.
+
+        Too recent for the lease to become idle is less than a lease duration ago, with
+        the margin for clocks.
+        """
         wanted_for = self._duration * _RENEW_SHARE
         if self._wanted_at is not None and now - self._wanted_at < wanted_for:
             return True
@@ -232,7 +257,7 @@
         return acted_at is not None and now - acted_at < self._duration + _MARGIN
 
     def _pursue(self, now):
-        """Take the lease if it is free, or look at it when it is time."""
+        """Take the lease if it is free, or read it when that is due."""
         free = self._is_free(now)
         if not free and not _is_due(self._next_look, now):
             return
@@ -251,20 +276,21 @@
         self._write(self._highest_epoch + 1, now)
 
     def _may_have_acted(self):
-        """Return whether acts before a take-over may be younger than a lease time.
+        """Return whether acts before a take-over may be less than a lease duration old.
 
-        An earlier life of this host may have acted until it ended, and the holder
-        of a record that was removed is not known.
+        An earlier incarnation of this host may have acted until it ended, and the
+        holder is unknown if its record was removed.
         """
         if self._record is None:
             return self._highest_epoch > 0
         return self._is_own(self._record) and not self._record.idle
 
     def _confirm(self, event, now):
-        """Take in that a write of ours took effect.
+        """Handle the confirmation that a write of this host took effect.
 
-        Guards against an answer to a write that was given up: nobody knows here
-        when that write was sent, so it lets nobody act. The lease is read again.
+        Guards against a late answer to an abandoned write, from which a holder would
+        count its time wrongly: only the send time of the latest write is known. An
+        answer to an earlier one is ignored, and the lease is read again.
         """
         if event.record != self._written:
             return
@@ -282,11 +308,11 @@
         else:
             self._hold_from_write()
         if self._leaving and self._mine():
-            # The write was under way when the lease was given back.
+            # The write was in flight when this host released the lease.
             self._release(now)
 
     def _hold_from_write(self):
-        """Count the hold from the last write, which is known to be in effect."""
+        """Count the hold from when the last write was sent; it has taken effect."""
         self._held_from = self._written_at
         self._maybe_idle = self._written.idle
         if self._was_idle != self._maybe_idle:
@@ -295,11 +321,11 @@
             self._state.emit(commands.Note(kind, self._me, f"epoch {self.epoch}"))
 
     def _release(self, now):
-        """Give up the epoch for good, and let peers know.
+        """Release the epoch for good, and announce it to peers.
 
-        A holder that can't renew, because it was paused or cut off from the
-        platform, would keep all others waiting until they can be sure that it
-        no longer acts. If it still reaches a peer, that wait is shorter.
+        Other hosts wait for a holder that can't renew, because it was paused or cut
+        off from the platform, until they can be sure that it no longer acts. If the
+        holder still reaches a peer, the announcement makes that wait shorter.
         """
         self._held_from = None
         self._released_epoch = self.epoch
@@ -312,8 +338,8 @@
 
     def _see(self, record, revision, now):
         if 0 < revision < self._revision:
-            # An answer from before what is known, which came late. Revisions rise
-            # also where the object is removed and made anew.
+            # A late answer that is older than the known revision. Revisions rise even
+            # if the object is removed and created again.
             return
         if revision == self._revision and self._seen_at is not None:
             self._note_wait(now)
@@ -324,12 +350,13 @@
             self._state.emit(commands.Note("lease_lost", self._me))
             self._held_from = None
         self._record, self._revision, self._seen_at = record, revision, now
-        # The object may have been removed, or overwritten by another writer; an
-        # epoch that was used before would then be given to a second holder.
+        # The object may have been removed, or overwritten by another writer. Without
+        # the highest known epoch, a second holder would then get a used epoch.
         self._highest_epoch = max(self._highest_epoch, self.epoch)
         if self._held_from is not None and record == self._written:
-            # A renewal of ours took effect though its answer was lost. Others may
-            # have seen it since it was sent, which was before this question.
+            # A renewal of this host took effect, but its answer was lost. Others may
+            # have seen the renewal since it was sent, so the hold counts from there
+            # and not from this read.
             self._hold_from_write()
         if is_first:
             self._note_wait(now)
@@ -341,9 +368,10 @@
         return now >= self._wait().until
 
     def _wait(self):
-        """Return for how long the lease as it was seen must be left alone.
+        """Return until when this host must not take over the lease that it saw.
 
-        Each way shows by itself that nobody can act under it any more.
+        Each of the collected waits alone is long enough that the holder can no longer
+        act by the end of it, so the shortest one counts.
         """
         if self._record is None:
             return _Wait(self._seen_at, "nobody holds it")
@@ -360,17 +388,17 @@
         return min(waits, key=lambda wait: wait.until)
 
     def _quiet_for(self):
-        """Return how long a lease must go unrenewed until another host takes it."""
+        """Return how long a lease must stay unrenewed before another host takes it."""
         return self._duration * _ACTING_SHARE + self._duration + _MARGIN
 
     def _is_own(self, record):
-        """Return whether this host is the holder, in this life or an earlier one.
+        """Return whether the holder is this host, in this or an earlier incarnation.
 
         Guards against engines that get no orders after all hosts lost power: the
-        holder came back and waited until its own earlier process could no longer
-        act. That process is gone, since the address that a host listens at is
-        bound by one process only. The name alone doesn't show it: another host
-        may come under it, at another address, while the one before still runs.
+        holder would restart and wait until its own earlier process can no longer act.
+        That process has ended, because only one process can bind the address that a
+        host listens at. The name alone doesn't prove it: another host may start under
+        the same name at another address while the first one still runs.
         """
         me = self._state.me
         life, _, address = record.holder.rpartition("/")
@@ -378,7 +406,7 @@
         return bool(address) and (name, address) == (me.name, me.peer_address)
 
     def _note_wait(self, now):
-        """Tell once why a lease that isn't renewed is left alone, and how long."""
+        """Log once per revision why and how long this host waits for the lease."""
         if self._mine() or self._noted_revision == self._revision:
             return
         wait = self._wait()
@@ -390,14 +418,15 @@
         self._state.emit(commands.Note("lease_waits", self._record.holder, detail))
 
     def _is_candidate(self, now):
-        """Return whether this host looks at the lease, to take it if it is free.
+        """Return whether this host reads the lease, to take it if it is free.
 
-        Guards against engines that get no new weights after a data centre was
-        lost: its hosts stay in the table, and nobody else would look for them.
+        Guards against engines that get no new weights after the loss of a data centre:
+        its hosts stay live in the table, and with both candidates among them no other
+        host would read the lease. So hosts of unreachable data centres don't count.
 
         A host that held the lease may take it at once, so it is a candidate until
-        another has taken it. Whether it held it a host asks when it starts, for as
-        long as the others would have to wait.
+        another has taken it. Every host is a candidate when it starts, to find out
+        whether it held the lease, for as long as the others would have to wait.
         """
         if self._seen_at is None and now - self._started_at < self._quiet_for():
             return True
@@ -417,13 +446,13 @@
             self._given_up_epoch, self._given_up_at = release.epoch, now
 
     def _stand_ins(self, now):
-        """Return how many hosts look at the lease besides the usual candidates.
+        """Return how many hosts read the lease besides the usual candidates.
 
-        Guards against engines that nobody orders: the store turns the holder away
-        and both candidates, while all other hosts reach it (seen for 8 s). Each
-        host knows by gossip that the lease was given up, and by its own look when
-        it has been taken again; who stands in needn't be agreed on, as a take-over
-        replaces a known revision.
+        Guards against engines that get no orders: the store refuses the holder and
+        both candidates, while all other hosts reach it (observed for 8 s). Each host
+        learns by gossip that the lease was released, and by its own read whether it
+        has been taken again. Hosts needn't agree on who stands in, as a take-over
+        replaces a known revision and so only one takes effect.
         """
         if self._given_up_at is None or self._given_up_epoch < self._highest_epoch:
             return 0
