--- a/packages/decide/sesamespindle/decide/directory.py
+++ b/packages/decide/sesamespindle/decide/directory.py
@@ -1,35 +1,38 @@
-"""Which entry hosts callers are told to use."""
+"""The choice of the entry hosts whose addresses callers get."""
 
 from sesamespindle.decide import events
 
-# Addresses in one answer; callers take at most 64.
+# The largest number of addresses in one answer; callers accept at most 64.
 MOST_ADDRESSES = 64
 
 
 def choose_addresses(state, data_centre, reachable):
-    """Return the addresses for a caller in a data centre, its own first.
+    """Return the addresses for a caller, those of its own data centre first.
 
     Parameters
     ----------
     state : world.World
         The shared tables.
     data_centre : str
-        The caller's.
+        The caller's data centre.
     reachable : callable
-        Whether a data centre has been heard of lately.
+        Takes the name of a data centre, and returns whether it has been heard from
+        lately.
 
     Returns
     -------
     addresses : list of str
         At most `MOST_ADDRESSES`.
 
-    Hosts that leave, that are suspected to be gone or whose data centre is not
-    heard of are left out. Where that leaves nobody, they are named together, as
-    any of them may be the one that serves. Hosts that are gone are named only
-    where nobody else is known: a caller with no address can't even be refused.
+    Notes
+    -----
+    Hosts that are leaving or suspected, or whose data centre is unreachable, are
+    omitted. If no other host is known, all of these are returned, as any of them may
+    still serve. Hosts that have left or are dead are returned only if no other host is
+    known: a caller with no address doesn't even get a refusal.
 
-    Guards against callers that are sent to hosts which leave or are gone while
-    others are there: worse ones are never named beside better ones.
+    Guards against callers that connect to hosts which leave or are dead while live
+    ones are available: hosts of a worse rank are never returned beside better ones.
     """
     known = [row for row in state.entries if row.url]
     surest = min((_rank(row, reachable) for row in known), default=None)
@@ -39,7 +42,7 @@
 
 
 def _rank(row, reachable):
-    """Return how unsure it is that a host serves for a while, 0 for the surest."""
+    """Return a host's rank by how likely it is to serve; 0 is the likeliest."""
     match row.state:
         case events.HostState.LIVE if reachable(row.data_centre):
             return 0
--- a/packages/decide/sesamespindle/decide/lives.py
+++ b/packages/decide/sesamespindle/decide/lives.py
@@ -1,21 +1,23 @@
-"""The identity of one life of a target, from its start to its end."""
+"""The identity of one incarnation of a target, from its start until its end."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Life:
-    """One life of a target.
+    """One incarnation of a target.
 
-    A target may start again under the name that it had, and then holds nothing of
-    before. So what is known, told or under way at a target belongs to one life.
+    A target may restart under the same name, and then has lost all its state.
+    So what is known of a target, gossiped about it or in flight at it belongs to one
+    incarnation.
 
     Attributes
     ----------
     name : str
-        Where targets don't tell their starts, each start has a name of its own.
+        The target's name. Where start times aren't known, each incarnation has a name
+        of its own.
     born : int
-        Milliseconds since the epoch at its start; 0 where it isn't told.
+        Start time, in milliseconds since the epoch; 0 where it isn't known.
     """
 
     name: str
