--- a/packages/decide/sesamespindle/decide/departure.py
+++ b/packages/decide/sesamespindle/decide/departure.py
@@ -7,10 +7,10 @@
 # leaving: peers learn it within one second, and callers look addresses up again after
 # another second. Callers that cache an address longer are refused and go to another
 # host.
-_CALLERS_LEARN_WITHIN = datetime.timedelta(seconds=2.5)
+_CALLERS_LEARN_AFTER = datetime.timedelta(seconds=2.5)
 # With a short time until its end, a host stops accepting all requests after this share
 # of it, so that the last ones still have two thirds of the time to be answered.
-_OPEN_SHARE = 1 / 3
+_ACCEPT_ALL_SHARE = 1 / 3
 # The end of the grace time that is reserved for closing connections, which takes 0.2 s
 # on a simulated host: reserving more would cut off long answers that are nearly
 # complete. In a short grace time it is half of the last sixth, because no answer may
@@ -21,7 +21,7 @@
 # of an order to leave and its handling. It is less than the other half of the last
 # sixth, so that a host that assumes too early an arrival still ends inside that sixth.
 # A host that was frozen for longer can't know when the order arrived.
-_HANDLED_SHARE = 1 / 16
+_MAX_HANDLING_DELAY_SHARE = 1 / 16
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -35,7 +35,7 @@
 
     Attributes
     ----------
-    open_until : datetime.datetime
+    accepts_all_until : datetime.datetime
         Until then all requests are accepted, as callers can't know yet.
     ends_at : datetime.datetime
         When every request gets its final answer and the process ends.
@@ -44,7 +44,7 @@
         left: nothing is accepted or sent any more.
     """
 
-    open_until: datetime.datetime
+    accepts_all_until: datetime.datetime
     ends_at: datetime.datetime
     is_over: bool = False
 
@@ -71,8 +71,8 @@
         now : datetime.datetime
             The present.
         """
-        is_open = not self.is_over and now < self.open_until
-        return is_open or not self.may_cut_off(until)
+        accepts_all = not self.is_over and now < self.accepts_all_until
+        return accepts_all or not self.may_cut_off(until)
 
 
 def asked_at(ran_at, now, grace):
@@ -91,31 +91,33 @@
     grace : datetime.timedelta
         The time between the order and the kill of the process.
     """
-    return max(ran_at, now - grace * _HANDLED_SHARE)
+    return max(ran_at, now - grace * _MAX_HANDLING_DELAY_SHARE)
 
 
-def begin(asked, ends_at):
+def schedule(ordered_at, ends_at):
     """Return the `Departure` of a host that leaves.
 
     Parameters
     ----------
-    asked : datetime.datetime
+    ordered_at : datetime.datetime
         The earliest time at which the order to leave may have arrived.
     ends_at : datetime.datetime
         The latest time at which the host ends.
     """
-    open_for = min(_CALLERS_LEARN_WITHIN, (ends_at - asked) * _OPEN_SHARE)
-    return Departure(asked + open_for, ends_at)
+    accepts_all_for = min(
+        _CALLERS_LEARN_AFTER, (ends_at - ordered_at) * _ACCEPT_ALL_SHARE
+    )
+    return Departure(ordered_at + accepts_all_for, ends_at)
 
 
-def latest_end(asked, grace):
+def latest_end(ordered_at, grace):
     """Return the time by which a host must end to avoid being killed.
 
     Parameters
     ----------
-    asked : datetime.datetime
+    ordered_at : datetime.datetime
         The earliest time at which the grace time may have started.
     grace : datetime.timedelta
         The time between the order to leave and the kill of the process.
     """
-    return asked + grace - min(_CLOSING_TIME, grace * _CLOSING_SHARE)
+    return ordered_at + grace - min(_CLOSING_TIME, grace * _CLOSING_SHARE)
--- a/packages/decide/sesamespindle/decide/membership.py
+++ b/packages/decide/sesamespindle/decide/membership.py
@@ -35,8 +35,8 @@
 WATCHERS = 2
 # An update about a crash starts a round at once, but no sooner than this after the
 # previous round.
-_CRASH_NEWS_GAP = datetime.timedelta(milliseconds=50)
-_REVIVE_CHANCE = 0.1
+_CRASH_ROUND_GAP = datetime.timedelta(milliseconds=50)
+_CONTACT_DEAD_CHANCE = 0.1
 _DEAD_KEPT_FOR = datetime.timedelta(minutes=10)
 _State = events.HostState
 _GONE = (_State.LEFT, _State.DEAD)
@@ -89,7 +89,7 @@
         self._quarantine = quarantine
         # By peer of this data centre: the incarnation that was sent all known
         # crashes.
-        self._incarnation_told = {}
+        self._informed_incarnation_by_peer = {}
         self._store_relay = store_relay
         self._seeds = seeds
         self._contradicts = contradicts
@@ -97,7 +97,7 @@
         self._interval = state.policy.suspect_after / ROUNDS_BEFORE_SUSPICION
         self._probes = startupprobes.StartupProbes(self._interval)
         self._next_round = None
-        self._spread_at = None
+        self._last_round_at = None
         self._digests = None
         self._digests_view = None
         self._urgent = False
@@ -107,13 +107,13 @@
     def tick(self, now):
         """Check which peers don't respond, and start a gossip round when one is due."""
         self._probes.tick(now)
-        self._judge_silence(now)
+        self._check_responses(now)
         is_urgent = self._urgent or self._state.tells_crashes
         if self._next_round is None or now >= self._next_round or is_urgent:
             self._next_round = now + self._interval
             self.spread(now)
         elif self._state.tells_pending:
-            self._tell_pending()
+            self._send_pending_work()
 
     def tell_crashes(self, now):
         """Start a gossip round between two ticks if there is a crash to announce.
@@ -124,12 +124,12 @@
         """
         if not self._state.tells_crashes:
             return
-        if self._spread_at is None or now - self._spread_at >= _CRASH_NEWS_GAP:
+        if self._last_round_at is None or now - self._last_round_at >= _CRASH_ROUND_GAP:
             self.spread(now)
 
     def spread(self, now):
         """Start a gossip round with a few peers."""
-        self._spread_at = now
+        self._last_round_at = now
         self._urgent = self._state.tells_pending = self._state.tells_crashes = False
         me = self._state.entries.get(self._state.me.name)
         me.heartbeat += 1
@@ -146,7 +146,7 @@
         if self._quarantine is not None:
             self._quarantine.note_round()
 
-    def _tell_pending(self):
+    def _send_pending_work(self):
         """Send a few peers of this data centre this daemon's current pending work.
 
         Guards against long prompts of several hosts that queue at one engine while
@@ -154,11 +154,11 @@
         others only after their next gossip round.
         """
         self._state.tells_pending = False
-        message = self._brief_message()
-        for row in self._sample(self._peers_inside(), PEERS_INSIDE):
+        message = self._pending_work_message()
+        for row in self._sample(self._present_peers_inside(), PEERS_INSIDE):
             self._state.emit(commands.GossipTo(row.peer_address, message))
 
-    def _brief_message(self):
+    def _pending_work_message(self):
         me = self._state.me
         return gossip.GossipMessage(
             me.name, me.data_centre, pending=self._pending(), brief=True
@@ -168,7 +168,7 @@
         """Start to leave and announce it to peers; a second order changes nothing."""
         if self._state.leaving:
             return
-        self._state.departure = departure.begin(order.asked_at or now, order.ends_at)
+        self._state.departure = departure.schedule(order.asked_at or now, order.ends_at)
         me = self._state.entries.get(self._state.me.name)
         me.state = _State.LEAVING
         self._state.note_view_change()
@@ -196,14 +196,14 @@
         self._note_heard(message)
         if message.brief:
             self._merge_pending(message, now)
-            reply = self._brief_message()
+            reply = self._pending_work_message()
             self._state.emit(commands.GossipReply(event.exchange_id, reply))
             return
         self._merge(message, now)
         sender = self._state.entries.get(message.sender)
         if sender is not None:
             self._fetch_revision(sender.peer_address, message.revision)
-            self._read_again(sender.peer_address, message.seen)
+            self._request_rereads(sender.peer_address, message.seen)
         inside = message.data_centre == self._state.me.data_centre
         newer, wanted = self._compare(message)
         reply = self._message(
@@ -220,14 +220,14 @@
         self._state.knows_entries = True
         self._merge(event.message, now)
         self._fetch_revision(event.peer_address, event.message.revision)
-        self._read_again(event.peer_address, event.message.seen)
+        self._request_rereads(event.peer_address, event.message.seen)
         asked_for = [
             self._state.entries.get(name)
             for name in event.message.wanted
             if name in self._state.entries
         ]
         if asked_for:
-            message = self._message(True, [_member(row) for row in asked_for])
+            message = self._message(True, [_to_member(row) for row in asked_for])
             self._state.emit(commands.GossipTo(event.peer_address, message))
 
     def is_reachable(self, data_centre, now):
@@ -263,7 +263,7 @@
         )
         return sum(min(WATCHERS, count) for count in counts.values())
 
-    def spread_soon(self):
+    def request_round(self):
         """Have the next tick start a gossip round, because something has changed."""
         self._urgent = True
 
@@ -277,7 +277,7 @@
                 commands.FetchDeclarations(peer_address, self._state.revision)
             )
 
-    def _read_again(self, peer_address, seen):
+    def _request_rereads(self, peer_address, seen):
         """Request a new read of each kind that the peer has seen change later.
 
         Guards against stale objects where this host's watch has stopped delivering
@@ -290,7 +290,7 @@
                     commands.ReadAgain(item.kind, item.revision, peer_address)
                 )
 
-    def _judge_silence(self, now):
+    def _check_responses(self, now):
         """Suspect members of this data centre that don't respond, then call them dead.
 
         Other data centres judge their own members. A member is suspected first, so
@@ -310,14 +310,14 @@
                 if silence > _DEAD_KEPT_FOR:
                     state.entries.remove(row.name)
                     self._probes.forget(row.name)
-                    self._incarnation_told.pop(row.name, None)
+                    self._informed_incarnation_by_peer.pop(row.name, None)
                     state.note_view_change()
             elif silence > 2 * limit or self._probes.has_failed(row, now):
-                self._judge(row, _State.DEAD)
+                self._set_state(row, _State.DEAD)
             elif silence > limit and row.state is _State.LIVE:
-                self._judge(row, _State.SUSPECT)
+                self._set_state(row, _State.SUSPECT)
 
-    def _judge(self, row, entry_state):
+    def _set_state(self, row, entry_state):
         row.state = entry_state
         self._state.note_view_change()
         self._state.emit(commands.Note(f"entry_{entry_state.value}", row.name))
@@ -326,20 +326,20 @@
         """Return (address, whether in this data centre) of the peers of one round."""
         state = self._state
         here = state.me.data_centre
-        inside = self._peers_inside()
-        dead = [row for row in self._others_inside() if row.state is _State.DEAD]
+        inside = self._present_peers_inside()
+        dead = [row for row in self._known_peers_inside() if row.state is _State.DEAD]
         chosen = self._sample(inside, PEERS_INSIDE) + self._choose_outside()
-        if dead and state.random.random() < _REVIVE_CHANCE:
+        if dead and state.random.random() < _CONTACT_DEAD_CHANCE:
             chosen += self._sample(dead, 1)
         if self._gives_up_early:
-            probed = self._probes.begin_round(inside + dead, now)
+            probed = self._probes.start_round(inside + dead, now)
             chosen += [row for row in probed if row not in chosen]
         peers = [(row.peer_address, row.data_centre == here) for row in chosen]
         if not peers:
             peers = [(address, True) for address in self._seeds]
         return peers
 
-    def _others_inside(self):
+    def _known_peers_inside(self):
         me = self._state.me
         return [
             row
@@ -347,8 +347,8 @@
             if row.name != me.name and row.peer_address
         ]
 
-    def _peers_inside(self):
-        return [row for row in self._others_inside() if row.state not in _GONE]
+    def _present_peers_inside(self):
+        return [row for row in self._known_peers_inside() if row.state not in _GONE]
 
     def _choose_outside(self):
         """Return a list of at most one peer, of another data centre chosen at random.
@@ -360,7 +360,7 @@
         here = self._state.me.data_centre
         others = [name for name in self._state.entries.keys_of("data_centre")]
         others.remove(here)
-        if not others or not self._has_turn_outside():
+        if not others or not self._gossips_outside():
             return []
         name = self._state.random.choice(sorted(others))
         known = [
@@ -371,9 +371,9 @@
         present = [row for row in known if row.state not in _GONE]
         return self._sample(present or known, PEERS_OUTSIDE)
 
-    def _has_turn_outside(self):
+    def _gossips_outside(self):
         """Return whether this daemon gossips with another data centre in this round."""
-        inside = 1 + len(self._peers_inside())
+        inside = 1 + len(self._present_peers_inside())
         return self._state.random.random() * inside < ROUNDS_OUTSIDE
 
     def _sample(self, rows, count):
@@ -390,10 +390,10 @@
         """
         incarnation_by_name = {item.name: item.incarnation for item in message.digests}
         incarnation = incarnation_by_name.get(message.sender)
-        told = self._incarnation_told.get(message.sender)
-        if incarnation is None or told == incarnation:
+        informed = self._informed_incarnation_by_peer.get(message.sender)
+        if incarnation is None or informed == incarnation:
             return False
-        self._incarnation_told[message.sender] = incarnation
+        self._informed_incarnation_by_peer[message.sender] = incarnation
         return True
 
     def _message(
@@ -509,7 +509,7 @@
             theirs = (digest.incarnation, digest.heartbeat)
             ours = (row.incarnation, row.heartbeat) if row else (-1, -1)
             if ours > theirs:
-                newer[digest.name] = _member(row)
+                newer[digest.name] = _to_member(row)
             elif ours < theirs:
                 wanted.append(digest.name)
         ours_by_name = {item.name: item for item in self._data_centre_digests()}
@@ -520,7 +520,7 @@
                 continue
             for row in self._state.entries.where("data_centre", name):
                 if row.name not in seen_names:
-                    newer[row.name] = _member(row)
+                    newer[row.name] = _to_member(row)
         return list(newer.values()), wanted
 
     def _merge(self, message, now):
@@ -614,7 +614,7 @@
             # Peers of this data centre exchange heartbeats, so the member does
             # gossip with one of them.
             self._probes.note_heard(member.name)
-        elif row is not None and self._stays_given_up(row, member, now):
+        elif row is not None and self._stays_dead(row, member, now):
             member = dataclasses.replace(member, state=_State.DEAD)
         before = row.state if row is not None else None
         state.put_entry(
@@ -637,7 +637,7 @@
             self._urgent = True
             state.emit(commands.Note(f"entry_{member.state.value}", member.name))
 
-    def _stays_given_up(self, row, member, now):
+    def _stays_dead(self, row, member, now):
         """Return whether a dead peer stays dead despite another data centre's record.
 
         Guards against a lost host that is given to callers again: data centres know
@@ -675,8 +675,8 @@
     return (record.incarnation, record.heartbeat, _RANK_BY_STATE[record.state])
 
 
-def _member(row):
-    spoken = _State.LIVE if row.state is _State.SUSPECT else row.state
+def _to_member(row):
+    announced_state = _State.LIVE if row.state is _State.SUSPECT else row.state
     return gossip.Member(
         row.name,
         row.data_centre,
@@ -685,7 +685,7 @@
         row.admin_url,
         row.incarnation,
         row.heartbeat,
-        spoken,
+        announced_state,
         row.revision,
     )
 
--- a/packages/decide/sesamespindle/decide/startupprobes.py
+++ b/packages/decide/sesamespindle/decide/startupprobes.py
@@ -10,7 +10,7 @@
 # Rounds in which a peer is contacted in all, also after it has failed: a peer that was
 # only slow counts as live again from its first reply. Afterwards, and for peers that
 # were heard from, the usual limit of twice `suspect_after` applies.
-ASKED_ROUNDS = 10
+CONTACTED_ROUNDS = 10
 
 
 @dataclasses.dataclass(slots=True)
@@ -25,7 +25,7 @@
 
     incarnation: int
     rounds: int = 0
-    asked_at: datetime.datetime | None = None
+    contacted_at: datetime.datetime | None = None
     failed: bool = False
 
 
@@ -51,18 +51,18 @@
 
     def __init__(self, interval):
         self._interval = interval
-        self._heard = set()
+        self._heard_from = set()
         self._probe_by_name = {}
         self._last_tick = None
 
     def note_heard(self, name):
         """Stop probing a peer that has gossiped with this daemon or with others."""
-        self._heard.add(name)
+        self._heard_from.add(name)
         self._probe_by_name.pop(name, None)
 
     def forget(self, name):
         """Forget a peer that was removed from the table."""
-        self._heard.discard(name)
+        self._heard_from.discard(name)
         self._probe_by_name.pop(name, None)
 
     def tick(self, now):
@@ -73,10 +73,10 @@
         """
         if self._last_tick is not None and now - self._last_tick >= self._interval:
             for probe in self._probe_by_name.values():
-                probe.asked_at = now
+                probe.contacted_at = now
         self._last_tick = now
 
-    def begin_round(self, rows, now):
+    def start_round(self, rows, now):
         """Return the rows of the peers to contact in a round, and count the round.
 
         Rounds that follow within an interval, because there is an update to send,
@@ -86,7 +86,7 @@
         for row in due:
             probe = self._probe(row)
             probe.rounds += 1
-            probe.asked_at = now
+            probe.contacted_at = now
         return due
 
     def has_failed(self, row, now):
@@ -94,18 +94,18 @@
         if row.name not in self._probe_by_name:
             return False
         probe = self._probe(row)
-        if probe.rounds >= UNANSWERED_ROUNDS and self._is_over(probe, now):
+        if probe.rounds >= UNANSWERED_ROUNDS and self._interval_has_passed(probe, now):
             probe.failed = True
         return probe.failed
 
     def _is_due(self, row, now):
-        if row.name in self._heard:
+        if row.name in self._heard_from:
             return False
         probe = self._probe(row)
-        return probe.rounds < ASKED_ROUNDS and self._is_over(probe, now)
+        return probe.rounds < CONTACTED_ROUNDS and self._interval_has_passed(probe, now)
 
-    def _is_over(self, probe, now):
-        return probe.asked_at is None or now - probe.asked_at >= self._interval
+    def _interval_has_passed(self, probe, now):
+        return probe.contacted_at is None or now - probe.contacted_at >= self._interval
 
     def _probe(self, row):
         """Return the probe of a row's incarnation; a new one starts at zero rounds."""
--- a/tests/decide/test_departure.py
+++ b/tests/decide/test_departure.py
@@ -19,7 +19,7 @@
     It had 10.4 s left to its deadline, its host 4.5 s to its end, and the only
     question asked was how long ago SIGTERM had come.
     """
-    leaving = departure.begin(NOW, departure.latest_end(NOW, 8 * SECOND))
+    leaving = departure.schedule(NOW, departure.latest_end(NOW, 8 * SECOND))
     lasts_long = NOW + 13.4 * SECOND
     assert leaving.takes(lasts_long, NOW + 2.4 * SECOND)
     assert not leaving.takes(lasts_long, NOW + 3.02 * SECOND)
@@ -59,10 +59,10 @@
 @hypothesis.settings(derandomize=True)
 @hypothesis.given(GRACE_TIMES, strategies.floats(0, 1), strategies.floats(0, 200))
 def test_what_is_taken_after_callers_know_has_its_answer_in_time(grace, part, lasts):
-    leaving = departure.begin(NOW, departure.latest_end(NOW, grace))
+    leaving = departure.schedule(NOW, departure.latest_end(NOW, grace))
     now = NOW + grace * part
     until = now + lasts * SECOND
-    if now >= leaving.open_until and leaving.takes(until, now):
+    if now >= leaving.accepts_all_until and leaving.takes(until, now):
         assert until <= leaving.ends_at
-    assert leaving.open_until - NOW <= 2.5 * SECOND
-    assert leaving.open_until - NOW <= (leaving.ends_at - NOW) / 3
+    assert leaving.accepts_all_until - NOW <= 2.5 * SECOND
+    assert leaving.accepts_all_until - NOW <= (leaving.ends_at - NOW) / 3
--- a/tests/decide/test_membership.py
+++ b/tests/decide/test_membership.py
@@ -288,7 +288,7 @@
     row = world.TargetRow("llm-1", "llm", None, "dc-1", False, "llm-1:80")
     state.targets.add(row)
     sender, _ = with_long_prompt()
-    message = sender._brief_message()
+    message = sender._pending_work_message()
     made.receive(gossip.GossipReceived("x", message), NOW)
     (reply,) = state.take_commands()
     assert reply.message == gossip.GossipMessage("entry-1", "dc-1", brief=True)
@@ -482,7 +482,7 @@
     now = NOW
     for _ in range(2 * startupprobes.UNANSWERED_ROUNDS):
         now += TICK
-        here[0].spread_soon()
+        here[0].request_round()
         here[0].tick(now)
     assert state_of(here, "b") is events.HostState.LIVE
 
