--- a/packages/decide/sesamespindle/decide/directory.py
+++ b/packages/decide/sesamespindle/decide/directory.py
@@ -3,7 +3,7 @@
 from sesamespindle.decide import events
 
 # The largest number of addresses in one answer; callers accept at most 64.
-MOST_ADDRESSES = 64
+MAX_ADDRESSES = 64
 
 
 def choose_addresses(state, data_centre, reachable):
@@ -22,7 +22,7 @@
     Returns
     -------
     addresses : list of str
-        At most `MOST_ADDRESSES`.
+        At most `MAX_ADDRESSES`.
 
     Notes
     -----
@@ -35,10 +35,10 @@
     ones are available: hosts of a worse rank are never returned beside better ones.
     """
     known = [row for row in state.entries if row.url]
-    surest = min((_rank(row, reachable) for row in known), default=None)
-    named = [row for row in known if _rank(row, reachable) == surest]
-    named.sort(key=lambda row: (row.data_centre != data_centre, row.name))
-    return [row.url for row in named[:MOST_ADDRESSES]]
+    best_rank = min((_rank(row, reachable) for row in known), default=None)
+    chosen = [row for row in known if _rank(row, reachable) == best_rank]
+    chosen.sort(key=lambda row: (row.data_centre != data_centre, row.name))
+    return [row.url for row in chosen[:MAX_ADDRESSES]]
 
 
 def _rank(row, reachable):
--- a/packages/decide/sesamespindle/decide/pauses.py
+++ b/packages/decide/sesamespindle/decide/pauses.py
@@ -24,15 +24,15 @@
     def __init__(self, started_at=None):
         self.started_at = started_at
         self.woke_at = None
-        self._stepped_at = None
+        self._last_step_at = None
 
     def note_step(self, now):
         """Record that the process runs now."""
         if self.started_at is None:
             self.started_at = now
-        if self._stepped_at is not None and now - self._stepped_at > _PAUSE:
+        if self._last_step_at is not None and now - self._last_step_at > _PAUSE:
             self.woke_at = now
-        self._stepped_at = now
+        self._last_step_at = now
 
     def paused_since(self, time):
         """Return whether a pause has ended since a time."""
--- a/packages/decide/sesamespindle/decide/targetlist.py
+++ b/packages/decide/sesamespindle/decide/targetlist.py
@@ -13,10 +13,10 @@
 # A target that has disappeared from the list stays in the table for this long, and is
 # used if no listed one is left. This is half of the shortest time that users allow
 # between a removal and the last request that reaches the target.
-_VANISHED_USED_FOR = datetime.timedelta(seconds=1)
+_MISSING_KEPT_FOR = datetime.timedelta(seconds=1)
 # Records that expired while the platform was unavailable reappear within 2 s of its
 # return, as the platform states; the other half second is for reading them.
-_LAPSED_USED_FOR = datetime.timedelta(seconds=2.5)
+_EXPIRED_KEPT_FOR = datetime.timedelta(seconds=2.5)
 _NOT_COLD = datetime.timedelta(0)
 
 
@@ -123,7 +123,7 @@
                 self._adopt_all(event.targets, now)
             case TargetChanged():
                 known = self._state.targets.where("pool", event.target.service)
-                self._adopt(event.target, _tell_births(known), now)
+                self._adopt(event.target, _have_start_times(known), now)
             case TargetRemoved():
                 self._remove(event, now)
             case TargetUnreadable():
@@ -150,14 +150,14 @@
         platform's return. Where other targets of the service are still listed, a
         missing one has really ended.
         """
-        alone = all(
+        all_missing = all(
             other.missing_since is not None
             for other in self._state.targets.where("pool", row.pool)
         )
-        used_for = _LAPSED_USED_FOR if alone else _VANISHED_USED_FOR
-        until = row.missing_since + used_for
+        kept_for = _EXPIRED_KEPT_FOR if all_missing else _MISSING_KEPT_FOR
+        until = row.missing_since + kept_for
         if self._platform_back_at is not None:
-            until = max(until, self._platform_back_at + _LAPSED_USED_FOR)
+            until = max(until, self._platform_back_at + _EXPIRED_KEPT_FOR)
         return until
 
     def _adopt_all(self, listed_targets, now):
@@ -166,14 +166,14 @@
         for target in listed_targets:
             targets_by_service[target.service].append(target)
         for targets in targets_by_service.values():
-            births_are_told = _tell_births(targets)
+            start_times_are_known = _have_start_times(targets)
             for target in targets:
-                self._adopt(target, births_are_told, now)
+                self._adopt(target, start_times_are_known, now)
         for row in list(self._state.targets):
             if row.name not in listed_names:
-                self._vanish(row.name, now)
+                self._mark_missing(row.name, now)
 
-    def _vanish(self, name, now):
+    def _mark_missing(self, name, now):
         row = self._state.targets.get(name)
         if row is None or row.missing_since is not None:
             return
@@ -186,9 +186,9 @@
         """Mark a target as missing, unless an earlier incarnation was removed."""
         row = self._state.targets.get(removed.name)
         if row is not None and (removed.born is None or removed.born >= row.born):
-            self._vanish(removed.name, now)
+            self._mark_missing(removed.name, now)
 
-    def _supersede(self, fresh, revision):
+    def _supersede(self, successor, revision):
         """Stop the use of a target whose address a new target has taken over.
 
         Guards against prompts that go to a dead engine as their preferred engine, and
@@ -199,16 +199,16 @@
         new record of an unknown service gets no requests, so that its error would
         never show, and it stops the use of no target.
         """
-        if fresh.pool not in self._state.service_names:
+        if successor.pool not in self._state.service_names:
             return
         for row in self._state.targets:
-            if row.name == fresh.name or row.url != fresh.url:
+            if row.name == successor.name or row.url != successor.url:
                 continue
             if row.listed and row.revision < revision:
                 row.listed = False
-                row.superseded_by = fresh.name
+                row.superseded_by = successor.name
                 self._state.emit(
-                    commands.Note("target_superseded", row.name, fresh.name)
+                    commands.Note("target_superseded", row.name, successor.name)
                 )
 
     def _set_aside(self, name, revision):
@@ -220,9 +220,11 @@
         if row is None or not row.listed or 0 < revision < row.revision:
             return
         row.listed = False
-        self._state.emit(commands.Note("target_set_aside", name, "its record"))
+        self._state.emit(
+            commands.Note("target_set_aside", name, "another writer changed its record")
+        )
 
-    def _adopt(self, target, births_are_told, now):
+    def _adopt(self, target, start_times_are_known, now):
         """Adopt a target's record, unless a later one is known.
 
         Guards against an outdated record of an incarnation that has ended: an old copy
@@ -230,12 +232,12 @@
 
         Parameters
         ----------
-        births_are_told : bool
+        start_times_are_known : bool
             Whether records of the service contain start times. A record without one
             then comes from another writer, and describes no target that can be used.
         """
         row = self._state.targets.get(target.name)
-        if target.born is None and (births_are_told or (row and row.born)):
+        if target.born is None and (start_times_are_known or (row and row.born)):
             self._set_aside(target.name, target.revision)
             return
         if row is not None and target.life.born < row.born:
@@ -294,10 +296,10 @@
         state.emit(commands.Note("target_cold", row.name, f"for {seconds:.1f} s"))
 
 
-def _tell_births(targets):
+def _have_start_times(targets):
     """Return whether at least half of the targets, records or rows, have start times.
 
     False if none has one.
     """
-    told = sum(bool(target.born) for target in targets)
-    return told > 0 and 2 * told >= len(targets)
+    count = sum(bool(target.born) for target in targets)
+    return count > 0 and 2 * count >= len(targets)
