--- a/packages/decide/sesamespindle/decide/lease.py
+++ b/packages/decide/sesamespindle/decide/lease.py
@@ -16,17 +16,17 @@
 # Another host takes the lease over once it has seen it unchanged for the time in which
 # the holder may act, plus a whole lease duration in which the holder can't have acted,
 # plus this margin for clocks that run at different speeds.
-_MARGIN = datetime.timedelta(milliseconds=300)
+_CLOCK_MARGIN = datetime.timedelta(milliseconds=300)
 # A candidate reads the lease at intervals of this share of its duration. Only the first
 # two live hosts of the fleet, by rendezvous hashing, are candidates.
-_LOOK_SHARE = 1 / 3
+_READ_SHARE = 1 / 3
 _CANDIDATES = 2
 # While a lease that its holder released isn't taken, one more host becomes a stand-in
 # candidate after each such interval: a candidate that reaches the store takes the lease
 # within its duration and one read interval. The number of stand-ins is limited, as the
 # store may be unavailable for all hosts.
 _STAND_IN_AFTER = datetime.timedelta(seconds=2)
-_MOST_STAND_INS = 6
+_MAX_STAND_INS = 6
 # An idle lease is taken over after the time of this many renewals without one. Safety
 # doesn't need this wait; it keeps a lease from changing hands for one lost call.
 _IDLE_MISSED_RENEWALS = 2.5
@@ -137,7 +137,7 @@
         self._duration = duration
         self._reachable = reachable
         me = state.me
-        self._me = f"{me.name}/{me.incarnation}/{me.peer_address}"
+        self._holder_id = f"{me.name}/{me.incarnation}/{me.peer_address}"
         self._record = None
         self._revision = 0
         self._seen_at = None
@@ -147,14 +147,14 @@
         self._written = None
         self._written_at = None
         self._writes = 0
-        self._busy = False
+        self._in_flight = False
         self._started_at = None
-        self._next_look = None
-        self._next_take = None
+        self._next_read = None
+        self._next_take_over = None
         self._noted_revision = None
         self._leaving = False
         self._acted_at = None
-        self._wanted_at = None
+        self._requested_at = None
         # Whether the stored record is idle, or may become so by a write in flight.
         self._maybe_idle = True
         self._was_idle = False
@@ -162,8 +162,8 @@
         self._highest_epoch = 0
         # The highest epoch that any host is known to have released, and since when
         # this host knows.
-        self._given_up_epoch = 0
-        self._given_up_at = None
+        self._known_released_epoch = 0
+        self._known_released_at = None
 
     @property
     def epoch(self):
@@ -191,8 +191,8 @@
 
         A held lease that is idle is written as not idle at once.
         """
-        self._wanted_at = now
-        if self._leaving or self._busy or not self.is_held(now):
+        self._requested_at = now
+        if self._leaving or self._in_flight or not self.is_held(now):
             return
         if self._maybe_idle:
             self._renew(now)
@@ -204,13 +204,13 @@
     def tick(self, now):
         """Renew, read, release or take over the lease when it is due."""
         self._started_at = self._started_at or now
-        self._note_given_up(now)
-        if self._mine() and not self.is_held(now):
+        self._note_known_release(now)
+        if self._has_hold() and not self.is_held(now):
             self._release(now)
-        if self._leaving or (self._busy and now - self._sent_at < self._duration):
+        if self._leaving or (self._in_flight and now - self._sent_at < self._duration):
             return
-        if not self._mine():
-            self._pursue(now)
+        if not self._has_hold():
+            self._read_or_take_over(now)
         elif now - self._held_from >= self._duration * _RENEW_SHARE:
             self._renew(now)
 
@@ -218,16 +218,16 @@
         """Handle one of this module's events; return whether it was one."""
         match event:
             case LeaseFound():
-                self._busy = False
-                self._see(event.record, event.revision, now)
+                self._in_flight = False
+                self._note_found(event.record, event.revision, now)
             case LeaseWritten():
                 self._confirm(event, now)
             case LeaseUnknown():
                 # Only another read shows whether a write took effect.
-                self._busy = False
-                self._next_look = self._next_take = now + _RETRY_AFTER
-                if self._mine():
-                    self._look(now)
+                self._in_flight = False
+                self._next_read = self._next_take_over = now + _RETRY_AFTER
+                if self._has_hold():
+                    self._read(now)
             case _:
                 return False
         return True
@@ -238,41 +238,41 @@
         Other hosts still wait until its last act is a lease duration old.
         """
         self._leaving = True
-        if self._mine():
+        if self._has_hold():
             self._release(now)
 
     def _renew(self, now):
-        self._write(self.epoch, now, not self._is_needed(now))
+        self._write(self.epoch, now, not self._must_stay_active(now))
 
-    def _is_needed(self, now):
+    def _must_stay_active(self, now):
         """Return whether an act was requested lately, or the last one is too recent.
 
         Too recent for the lease to become idle is less than a lease duration ago, with
         the margin for clocks.
         """
-        wanted_for = self._duration * _RENEW_SHARE
-        if self._wanted_at is not None and now - self._wanted_at < wanted_for:
+        requested_for = self._duration * _RENEW_SHARE
+        if self._requested_at is not None and now - self._requested_at < requested_for:
             return True
         acted_at = self._acted_at
-        return acted_at is not None and now - acted_at < self._duration + _MARGIN
+        return acted_at is not None and now - acted_at < self._duration + _CLOCK_MARGIN
 
-    def _pursue(self, now):
+    def _read_or_take_over(self, now):
         """Take the lease if it is free, or read it when that is due."""
         free = self._is_free(now)
-        if not free and not _is_due(self._next_look, now):
+        if not free and not _is_due(self._next_read, now):
             return
         if not self._is_candidate(now):
-            self._next_look = now + self._duration * _LOOK_SHARE
-            self._next_take = self._next_look
+            self._next_read = now + self._duration * _READ_SHARE
+            self._next_take_over = self._next_read
         elif free:
             self._take_over(now)
         else:
-            self._look(now)
+            self._read(now)
 
     def _take_over(self, now):
         if self._may_have_acted():
             self._acted_at = now
-        self._next_take = now + _RETRY_AFTER
+        self._next_take_over = now + _RETRY_AFTER
         self._write(self._highest_epoch + 1, now)
 
     def _may_have_acted(self):
@@ -294,11 +294,13 @@
         """
         if event.record != self._written:
             return
-        self._busy = False
+        self._in_flight = False
         if self._held_from is None:
             self._was_idle = event.record.idle
             self._state.emit(
-                commands.Note("lease_taken", self._me, f"epoch {event.record.epoch}")
+                commands.Note(
+                    "lease_taken", self._holder_id, f"epoch {event.record.epoch}"
+                )
             )
         self._record, self._revision = event.record, event.revision
         self._highest_epoch = max(self._highest_epoch, self.epoch)
@@ -307,7 +309,7 @@
             self._held_from = None
         else:
             self._hold_from_write()
-        if self._leaving and self._mine():
+        if self._leaving and self._has_hold():
             # The write was in flight when this host released the lease.
             self._release(now)
 
@@ -318,7 +320,9 @@
         if self._was_idle != self._maybe_idle:
             self._was_idle = self._maybe_idle
             kind = "lease_idle" if self._was_idle else "lease_active"
-            self._state.emit(commands.Note(kind, self._me, f"epoch {self.epoch}"))
+            self._state.emit(
+                commands.Note(kind, self._holder_id, f"epoch {self.epoch}")
+            )
 
     def _release(self, now):
         """Release the epoch for good, and announce it to peers.
@@ -331,12 +335,14 @@
         self._released_epoch = self.epoch
         acted_at = self._acted_at or now - self._duration
         self._state.lease_release = gossip.LeaseRelease(self.epoch, acted_at)
-        self._state.emit(commands.Note("lease_released", self._me, f"{self.epoch}"))
+        self._state.emit(
+            commands.Note("lease_released", self._holder_id, f"{self.epoch}")
+        )
 
-    def _mine(self):
+    def _has_hold(self):
         return self._held_from is not None
 
-    def _see(self, record, revision, now):
+    def _note_found(self, record, revision, now):
         if 0 < revision < self._revision:
             # A late answer that is older than the known revision. Revisions rise even
             # if the object is removed and created again.
@@ -345,9 +351,9 @@
             self._note_wait(now)
             return
         is_first = self._seen_at is None
-        changed_hands = record is None or record.holder != self._me
+        changed_hands = record is None or record.holder != self._holder_id
         if self._held_from is not None and changed_hands:
-            self._state.emit(commands.Note("lease_lost", self._me))
+            self._state.emit(commands.Note("lease_lost", self._holder_id))
             self._held_from = None
         self._record, self._revision, self._seen_at = record, revision, now
         # The object may have been removed, or overwritten by another writer. Without
@@ -363,11 +369,11 @@
 
     def _is_free(self, now):
         """Return whether the lease may be taken now."""
-        if self._seen_at is None or not _is_due(self._next_take, now):
+        if self._seen_at is None or not _is_due(self._next_take_over, now):
             return False
-        return now >= self._wait().until
+        return now >= self._shortest_wait().until
 
-    def _wait(self):
+    def _shortest_wait(self):
         """Return until when this host must not take over the lease that it saw.
 
         Each of the collected waits alone is long enough that the holder can no longer
@@ -377,19 +383,19 @@
             return _Wait(self._seen_at, "nobody holds it")
         if self._is_own(self._record):
             return _Wait(self._seen_at, "this host held it")
-        waits = [_Wait(self._seen_at + self._quiet_for(), "not renewed")]
+        waits = [_Wait(self._seen_at + self._unrenewed_wait(), "not renewed")]
         if self._record.idle:
             missed = self._duration * _RENEW_SHARE * _IDLE_MISSED_RENEWALS
             waits.append(_Wait(self._seen_at + missed, "idle and not renewed"))
         release = self._state.lease_release
         if release is not None and release.epoch >= self._record.epoch:
-            until = release.last_act_at + self._duration + _MARGIN
-            waits.append(_Wait(until, "given up by its holder"))
+            until = release.last_act_at + self._duration + _CLOCK_MARGIN
+            waits.append(_Wait(until, "released by its holder"))
         return min(waits, key=lambda wait: wait.until)
 
-    def _quiet_for(self):
+    def _unrenewed_wait(self):
         """Return how long a lease must stay unrenewed before another host takes it."""
-        return self._duration * _ACTING_SHARE + self._duration + _MARGIN
+        return self._duration * _ACTING_SHARE + self._duration + _CLOCK_MARGIN
 
     def _is_own(self, record):
         """Return whether the holder is this host, in this or an earlier incarnation.
@@ -401,20 +407,20 @@
         the same name at another address while the first one still runs.
         """
         me = self._state.me
-        life, _, address = record.holder.rpartition("/")
-        name, _, _ = life.rpartition("/")
+        incarnation_id, _, address = record.holder.rpartition("/")
+        name, _, _ = incarnation_id.rpartition("/")
         return bool(address) and (name, address) == (me.name, me.peer_address)
 
     def _note_wait(self, now):
         """Log once per revision why and how long this host waits for the lease."""
-        if self._mine() or self._noted_revision == self._revision:
+        if self._has_hold() or self._noted_revision == self._revision:
             return
-        wait = self._wait()
+        wait = self._shortest_wait()
         if wait.until <= now or not self._is_candidate(now):
             return
         self._noted_revision = self._revision
         left = (wait.until - now).total_seconds()
-        detail = f"epoch {self.epoch}, {wait.reason}, {left:.1f} s more"
+        detail = f"epoch {self.epoch}, {wait.reason}, waiting {left:.1f} s more"
         self._state.emit(commands.Note("lease_waits", self._record.holder, detail))
 
     def _is_candidate(self, now):
@@ -428,7 +434,7 @@
         another has taken it. Every host is a candidate when it starts, to find out
         whether it held the lease, for as long as the others would have to wait.
         """
-        if self._seen_at is None and now - self._started_at < self._quiet_for():
+        if self._seen_at is None and now - self._started_at < self._unrenewed_wait():
             return True
         if self._record is not None and self._is_own(self._record):
             return True
@@ -437,15 +443,15 @@
             for row in self._state.live_entries()
             if self._reachable(row.data_centre, now)
         ]
-        count = _CANDIDATES + self._stand_ins(now)
+        count = _CANDIDATES + self._stand_in_count(now)
         return self._state.me.name in hashing.rank("lease", names)[:count]
 
-    def _note_given_up(self, now):
+    def _note_known_release(self, now):
         release = self._state.lease_release
-        if release is not None and release.epoch > self._given_up_epoch:
-            self._given_up_epoch, self._given_up_at = release.epoch, now
+        if release is not None and release.epoch > self._known_released_epoch:
+            self._known_released_epoch, self._known_released_at = release.epoch, now
 
-    def _stand_ins(self, now):
+    def _stand_in_count(self, now):
         """Return how many hosts read the lease besides the usual candidates.
 
         Guards against engines that get no orders: the store refuses the holder and
@@ -454,23 +460,26 @@
         has been taken again. Hosts needn't agree on who stands in, as a take-over
         replaces a known revision and so only one takes effect.
         """
-        if self._given_up_at is None or self._given_up_epoch < self._highest_epoch:
+        if (
+            self._known_released_at is None
+            or self._known_released_epoch < self._highest_epoch
+        ):
             return 0
-        passed = (now - self._given_up_at) // _STAND_IN_AFTER
-        return min(passed, _MOST_STAND_INS)
+        passed = (now - self._known_released_at) // _STAND_IN_AFTER
+        return min(passed, _MAX_STAND_INS)
 
-    def _look(self, now):
-        self._busy, self._sent_at = True, now
-        self._next_look = now + self._duration * _LOOK_SHARE
+    def _read(self, now):
+        self._in_flight, self._sent_at = True, now
+        self._next_read = now + self._duration * _READ_SHARE
         self._state.emit(ReadLease())
 
     def _write(self, epoch, now, idle=False):
         self._writes += 1
         self._maybe_idle = self._maybe_idle or idle
-        record = LeaseRecord(self._me, epoch, self._writes, idle)
+        record = LeaseRecord(self._holder_id, epoch, self._writes, idle)
         self._written, self._written_at = record, now
-        self._busy, self._sent_at = True, now
-        self._next_look = now + _RETRY_AFTER
+        self._in_flight, self._sent_at = True, now
+        self._next_read = now + _RETRY_AFTER
         self._state.emit(WriteLease(record, self._revision))
 
 
