--- a/tests/decide/test_membership.py
+++ b/tests/decide/test_membership.py
@@ -1,4 +1,4 @@
-"""Who is there and who watches the platform, as membership has it."""
+"""Membership: gossip between daemons, dead hosts, and who watches the platform."""
 
 import dataclasses
 import datetime
@@ -54,9 +54,10 @@
 
 
 def test_another_daemon_watches_when_a_watcher_falls_silent():
-    """A watcher is paused, and with it all that its data centre would learn.
+    """Guards against a data centre that learns no changes while its watcher is paused.
 
-    The others suspect it after a while; one of them takes its place.
+    The others suspect the paused watcher after `suspect_after`, and one of them takes
+    its place.
     """
     silent = watchers()[0]
     for name in NAMES:
@@ -77,7 +78,7 @@
 
 
 def make_daemon(name, data_centre, incarnation=1, url=None):
-    """Return a membership with its own entry, which bears an address or not."""
+    """Return a membership and its tables, which hold its own entry with `url`."""
     url = f"{name}:80" if url is None else url
     me = events.Host(name, "entry", data_centre, url, f"{name}:81", "", incarnation)
     state = world.World(me)
@@ -89,13 +90,13 @@
 
 
 def introduce(state, other):
-    """Have a daemon know another as that one knows itself."""
+    """Copy a daemon's record of itself into another daemon's table."""
     row = other.entries.get(other.me.name)
     state.put_entry(dataclasses.replace(row))
 
 
 def run_round(caller, answerer, now):
-    """Have a daemon begin a round of gossip, and another answer it."""
+    """Have a daemon start a gossip round, and another reply to it."""
     made, state = caller
     other, other_state = answerer
     state.take_commands()
@@ -112,12 +113,11 @@
 
 
 def test_an_address_that_becomes_known_reaches_other_data_centres():
-    """Callers are sent to hosts that leave although others are live.
+    """Guards against callers that are sent to leaving hosts although others are live.
 
-    A host tells peers of itself without an address until it can serve. Other
-    data centres had heard of it by then, and its address changed nothing that
-    they compare, so they kept a live host that they could name to nobody. Once
-    all hosts of their own data centre left, they named those.
+    A host gossips its record without an address until it can serve. If the digest of
+    its data centre doesn't cover the address, other data centres never receive it and
+    can't give the host to callers.
     """
     here, there = make_daemon("a", "dc-1"), make_daemon("b", "dc-2", url="")
     introduce(here[1], there[1])
@@ -132,11 +132,11 @@
 
 
 def test_a_data_centre_stays_reachable_when_its_hosts_start_anew():
-    """Callers are told of one host while five others are there.
+    """Guards against a data centre that seems unreachable after planned restarts.
 
-    A data centre counts as reachable while its pulse rises. The pulse was the
-    sum of its members' heartbeats, which begin at zero when a host starts, so
-    after planned restarts it lay below what others knew for many seconds.
+    A data centre counts as reachable while its pulse rises. A pulse computed from
+    heartbeats, which start at zero in a restarted host, stays below the known value
+    for many seconds, and callers get none of the data centre's hosts.
     """
     here, there = make_daemon("a", "dc-1"), make_daemon("b", "dc-2")
     introduce(here[1], there[1])
@@ -173,12 +173,14 @@
 
 
 def leave_and_start_again(data_centre, before, after):
-    """Return a daemon, and one that it knows to have left and that starts again.
+    """Return a daemon, and another that it knows as left and that has restarted.
 
     Parameters
     ----------
+    data_centre : str
+        The data centre of the daemon that restarts.
     before, after : int
-        The incarnations of the one that left and of its next life.
+        The incarnations of that daemon before and after its restart.
     """
     here = make_daemon("a", "dc-1")
     there = make_daemon("b", data_centre, incarnation=before)
@@ -194,18 +196,18 @@
 
 
 def test_a_host_whose_clock_was_set_back_is_known_again_after_its_restart():
-    """A host that is there is named to nobody for ten minutes.
+    """Guards against a live host that callers don't get for ten minutes.
 
-    It started while its clock was ahead, and again after the clock had been set
-    back, so its second life bears a lower number than its first. Peers took what
-    it said for old news of a host that had left, and it didn't contradict them.
+    The host's clock was set back between two starts, so its new incarnation is lower
+    than that of the process that left. Peers ignore its records as outdated unless it
+    raises its incarnation above the one that they remember.
     """
     here, again = leave_and_start_again("dc-1", before=5000, after=4000)
     now = NOW + ROUND
     for _ in range(10):
         now += ROUND
         run_round(again, here, now)
-        # What the peer asked for follows as a message of its own.
+        # The records that the peer asked for follow in a separate message.
         for command in again[1].take_commands():
             if isinstance(command, commands.GossipTo):
                 here[0].receive(gossip.GossipReceived("2", command.message), now)
@@ -213,11 +215,11 @@
 
 
 def test_a_data_centre_stays_reachable_when_its_one_host_of_newer_code_goes():
-    """Callers are told of none of a data centre's hosts during a rollout.
+    """Guards against a data centre that seems unreachable for good during a rollout.
 
-    Older code tells the sum of its members' heartbeats as the pulse. One host of
-    newer code told the time of its start in milliseconds, which older hosts never
-    come up to: when it went, the whole data centre counted as silent for good.
+    Hosts of older code send the sum of heartbeats as the pulse. If a host of newer code
+    sends its start time in milliseconds, the older hosts never reach that value once it
+    has left.
     """
     here, newer = make_daemon("a", "dc-1"), make_daemon("b", "dc-2", NEW_INCARNATION)
     introduce(here[1], newer[1])
@@ -233,11 +235,11 @@
 
 
 def test_hosts_that_come_back_after_all_of_their_data_centre_left_are_found():
-    """A data centre is restarted and callers elsewhere are never told of it again.
+    """Guards against a restarted data centre that stays unknown elsewhere.
 
-    All of its hosts had said that they left, and other data centres speak to no
-    host that has left. Those that came back spoke to them, but a round tells its
-    answerer nothing of the caller's own data centre, so they stayed unknown.
+    All its hosts announced that they left, and other data centres would not contact
+    hosts that have left. The restarted hosts contact the others, but a gossip request
+    carries no records of the sender's own data centre, so they stay unknown.
     """
     here, again = leave_and_start_again("dc-2", before=1, after=2)
     now = NOW + ROUND
@@ -249,7 +251,7 @@
 
 
 def with_long_prompt(name="entry-0", elsewhere=()):
-    """Return the membership of a daemon that has just sent a long prompt."""
+    """Return the membership and tables of a daemon that has just sent a long prompt."""
     made, state = make_membership(name, NAMES[:3], elsewhere)
     made.tick(NOW)
     state.take_commands()
@@ -268,10 +270,10 @@
 
 
 def test_a_long_prompt_is_told_inside_the_data_centre_before_the_next_round():
-    """Two hosts get a long prompt within a tenth of a second of each other.
+    """Guards against two long prompts that queue at one engine while others idle.
 
-    The second one did not know of the first until the next round, sent its own to
-    the same engine, and the caller waited while other engines idled.
+    Two hosts receive a long prompt each within a tenth of a second. If the second host
+    learns of the first prompt only in the next gossip round, it picks the same engine.
     """
     made, state = with_long_prompt(elsewhere=["entry-9"])
     told = told_by(made, state, NOW + ROUND / 4)
@@ -296,11 +298,11 @@
 
 
 def test_a_lost_host_is_dead_soon_also_to_a_mate_that_started_after_its_loss():
-    """A host is lost; the only other one of its data centre is killed just then.
+    """Guards against a lost host that callers get for more than 6 s after its loss.
 
-    It starts again and hears of the lost one from another data centre. Nobody
-    else may judge it, and it counts the silence from when it heard of it: callers
-    were told of the lost host for more than 6 s after its last word.
+    The only other host of its data centre, the only one that may call it dead, restarts
+    just then and learns of it from another data centre. If the silence counts from that
+    moment, the lost host stays live too long.
     """
     last_word = NOW
     started = last_word + datetime.timedelta(seconds=1.7)
@@ -318,11 +320,10 @@
 
 
 def test_a_listed_host_that_is_lost_is_dead_soon_to_a_mate_that_started_after():
-    """A host is lost, and its record stays in the platform's list.
+    """Guards against a lost host that callers get because the platform still lists it.
 
-    The only other one of its data centre starts and reads the list. It counts the
-    silence from when it read of it: callers were told of a host that may have been
-    lost long before.
+    The only other host of its data centre starts and reads the list. If the silence
+    counts from that read, a host that was lost long before stays live too long.
     """
     made, state = make_membership("entry-0", ["entry-0"])
     lost = events.Host("entry-1", "entry", "dc-1", "u", "p", "", 1)
@@ -335,13 +336,13 @@
 
 
 TICK = ROUND / 4
-# Of `make_daemon`, whose world has the default policy.
+# The gossip interval of the daemons of `make_daemon`, which have the default policy.
 INTERVAL = world.Policy().suspect_after / membership.ROUNDS_BEFORE_SUSPICION
 ENOUGH_ROUNDS = startupprobes.UNANSWERED_ROUNDS * INTERVAL + 2 * TICK
 
 
 def tell_of(daemon, name, now, heartbeat=9, incarnation=1, data_centre="dc-2"):
-    """Have a daemon hear of one of its data centre from a peer of another."""
+    """Send a daemon a record of a host in "dc-1" from a peer of another data centre."""
     told = gossip.Member(
         name,
         "dc-1",
@@ -358,7 +359,7 @@
 
 
 def answer(other, message, now):
-    """Return a daemon's reply; what it had commanded itself waits on."""
+    """Return a daemon's reply, and keep the other commands that it had emitted."""
     made, state = other
     kept = state.take_commands()
     made.receive(gossip.GossipReceived("1", message), now)
@@ -371,7 +372,7 @@
 
 
 def exchange(daemons, cut, now):
-    """Carry out what all daemons commanded, but for what goes over a cut link."""
+    """Deliver the gossip of all daemons, except over links that are cut."""
     daemon_by_address = {row[1].me.peer_address: row for row in daemons}
     for made, state in daemons:
         for command in state.take_commands():
@@ -386,7 +387,7 @@
 
 
 def play(daemons, now, duration, cut=()):
-    """Let daemons tick and gossip; return the time and who was ever called dead.
+    """Let daemons tick and gossip; return the time and all names ever called dead.
 
     Parameters
     ----------
@@ -412,10 +413,11 @@
 
 
 def test_live_hosts_that_start_together_do_not_call_each_other_dead():
-    """All hosts of a data centre lose power and start again together.
+    """Guards against live hosts that call each other dead after a common restart.
 
-    Other data centres and the platform's list still have their lives before, so
-    each hears of its mates by old records. All of them are there.
+    All hosts of a data centre lose power and restart together. Other data centres and
+    the platform's list still have their earlier incarnations, so each host learns of
+    its peers by outdated records.
     """
     names = ["a", "b", "c", "d", "e", "f"]
     daemons = [make_daemon(name, "dc-1", incarnation=2) for name in names]
@@ -440,10 +442,11 @@
 
 
 def test_a_mate_that_was_frozen_is_back_as_soon_as_it_is_heard_of():
-    """A host starts while its live mate is frozen, and calls it dead.
+    """Guards against a live host that stays dead in a peer's table after a pause.
 
-    The mate wakes up and serves. It is named again from its first word, as its
-    heartbeat has risen above that of the record with its death.
+    A host starts while its peer is frozen, and calls it dead. Once the peer wakes up,
+    its first message makes it live again, as its heartbeat is above that of the record
+    that calls it dead.
     """
     here, frozen = make_daemon("a", "dc-1"), make_daemon("b", "dc-1")
     frozen[1].entries.get("b").heartbeat = 9
@@ -456,11 +459,11 @@
 
 
 def test_a_host_that_wakes_from_a_pause_hears_its_mates_before_it_judges_them():
-    """A host starts, asks its mate, and stands still when the answers come.
+    """Guards against a live peer that is called dead although its replies have arrived.
 
-    Its rounds were all begun and are long over when it wakes up. It judges at
-    its first tick, before it has read anything, and callers were told of one
-    host fewer.
+    A host starts, contacts its peer and is paused while the replies come. When it wakes
+    up, all its rounds are over, and it judges the peer at its first tick, before it has
+    read the replies.
     """
     here = make_daemon("a", "dc-1")
     tell_of(here, "b", NOW)
@@ -473,9 +476,10 @@
 
 
 def test_rounds_that_follow_at_once_count_as_one():
-    """A host that starts spreads news at every tick, and each is a round.
+    """Guards against a live peer that fails because rounds follow too fast.
 
-    Its mate had three of them to answer within a third of a second.
+    A host that starts has updates to send, so it starts a round at every tick. If each
+    counted, its peer would have to reply to three within a third of a second.
     """
     here = make_daemon("a", "dc-1")
     tell_of(here, "b", NOW)
@@ -488,10 +492,10 @@
 
 
 def test_a_mate_that_is_not_heard_is_asked_itself_in_each_round():
-    """Twenty hosts are there, and a round goes to two of them by chance.
+    """Guards against live peers that are called dead without ever being contacted.
 
-    A host that starts must ask all that it hasn't heard, or live ones would be
-    given up unasked. Those that have spoken are asked by chance again.
+    A round goes to two of twenty hosts, chosen at random. A host that starts must also
+    contact all peers that it hasn't heard from; the others are chosen at random again.
     """
     here = make_daemon("a", "dc-1")
     for name in NAMES:
@@ -516,9 +520,10 @@
 
 
 def test_a_mate_whom_only_others_of_its_data_centre_reach_is_not_called_dead():
-    """The link between a host that has just started and its mate is cut.
+    """Guards against a live peer that is called dead because of one broken link.
 
-    A third host of the data centre reaches both and tells the mate's heartbeats.
+    The link between a host that has just started and its peer is cut. A third host of
+    the data centre reaches both and gossips the peer's heartbeats.
     """
     here, mate, third = (make_daemon(name, "dc-1") for name in "abc")
     mate[1].entries.get("b").heartbeat = 9
@@ -531,10 +536,10 @@
 
 
 def test_a_lost_host_is_not_brought_back_by_an_old_record_from_elsewhere():
-    """A lost host is given up, and callers are told of it again.
+    """Guards against a dead host that callers get again.
 
-    Data centres know different heartbeats of it. One that hadn't been asked yet
-    knew a higher one, and its record went before that with the death.
+    Data centres know different heartbeats of a lost host. A record with a higher
+    heartbeat than that of the record which calls it dead would make it live again.
     """
     here = make_daemon("a", "dc-1")
     tell_of(here, "b", NOW)
@@ -550,9 +555,10 @@
 
 
 def test_a_mistaken_death_does_not_go_before_a_higher_heartbeat():
-    """A host that starts behind a cut link calls a live mate dead.
+    """Guards against a live host that spreads as dead because of one broken link.
 
-    A third one that hears the mate keeps it, and corrects the one that is wrong.
+    A host that starts behind a cut link calls a live peer dead. A third host, which
+    knows a higher heartbeat of the peer, keeps it live and corrects the first host.
     """
     here, third = make_daemon("a", "dc-1"), make_daemon("c", "dc-1")
     mate = make_daemon("b", "dc-1")
@@ -569,10 +575,11 @@
 
 
 def test_where_a_death_frees_slices_a_mate_is_not_given_up_early():
-    """Two owners' slices of an account add up to more than its limit.
+    """Guards against slices of an account that add up to more than its limit.
 
-    A new owner counts the slices of all but dead entries. One that is cut off for
-    some seconds still uses its own, for as long as a grant lasts.
+    A new owner counts the slices of all entries that aren't dead. An entry that is cut
+    off for some seconds still uses its slice until the grant expires, so it must not be
+    called dead before that.
     """
     me = events.Host("a", "entry", "dc-1", "a:80", "a:81", "", 1)
     made = core.Core(me)
@@ -583,10 +590,11 @@
 
 
 def test_the_version_of_a_target_is_told_while_it_is_news():
-    """A daemon sees an engine answer on new weights, and tells its peers.
+    """Guards against versions that cost an idle daemon half its work, or get lost.
 
-    Told in each message for ever, the versions of 40 engines were half of an idle
-    daemon's work; told once, the news would end at a peer that misses the message.
+    A daemon sees an engine answer on new weights and announces the version. The
+    versions of 40 engines in every message were half of an idle daemon's work; sent
+    only once, the version would not reach a peer that misses the message.
     """
     made, state = make_membership("entry-0")
     row = world.TargetRow("llm-1", "llm", None, "dc-1", False)
@@ -606,10 +614,11 @@
 
 
 def test_daemons_of_a_large_data_centre_take_turns_outside():
-    """Forty daemons begin a round each 0.4 s, each with another data centre too.
+    """Guards against needless traffic between data centres.
 
-    News would be there as soon with a few of them; the rest is bytes between data
-    centres. A data centre of few daemons needs each of theirs.
+    Forty daemons start a round every 0.4 s. If each also gossiped with another data
+    centre, updates would arrive no sooner than with a few of them. In a data centre of
+    few daemons each one must.
     """
     for count, low, high in ((4, 200, 200), (40, 20, 60)):
         names = [f"entry-{number}" for number in range(count)]
