--- a/tests/decide/test_membership.py
+++ b/tests/decide/test_membership.py
@@ -53,7 +53,7 @@
     assert alone.is_watcher()
 
 
-def test_another_daemon_watches_when_a_watcher_falls_silent():
+def test_another_daemon_watches_when_a_watcher_does_not_respond():
     """Guards against a data centre that learns no changes while its watcher is paused.
 
     The others suspect the paused watcher after `suspect_after`, and one of them takes
@@ -63,11 +63,11 @@
     for name in NAMES:
         if name == silent:
             continue
-        made, state = make_membership(name)
+        daemon, state = make_membership(name)
         for row in state.entries:
             row.heard_at = NOW + 2 * state.policy.suspect_after
         state.entries.get(silent).heard_at = NOW
-        made.tick(NOW + 2 * state.policy.suspect_after)
+        daemon.tick(NOW + 2 * state.policy.suspect_after)
         assert state.entries.get(silent).state is not events.HostState.LIVE
     left = [name for name in NAMES if name != silent]
     assert len(watchers(left)) == membership.WATCHERS
@@ -97,10 +97,10 @@
 
 def run_round(caller, answerer, now):
     """Have a daemon start a gossip round, and another reply to it."""
-    made, state = caller
+    daemon, state = caller
     other, other_state = answerer
     state.take_commands()
-    made.spread(now)
+    daemon.spread(now)
     for command in state.take_commands():
         if not isinstance(command, commands.GossipTo):
             continue
@@ -109,7 +109,7 @@
         for reply in other_state.take_commands():
             if isinstance(reply, commands.GossipReply):
                 address = other_state.me.peer_address
-                made.answered(gossip.GossipAnswered(address, reply.message), now)
+                daemon.answered(gossip.GossipAnswered(address, reply.message), now)
 
 
 def test_an_address_that_becomes_known_reaches_other_data_centres():
@@ -153,7 +153,7 @@
         assert here[0].is_reachable("dc-2", now)
 
 
-def test_a_data_centre_that_falls_silent_is_not_reachable():
+def test_a_data_centre_whose_pulse_stops_is_not_reachable():
     here, there = make_daemon("a", "dc-1"), make_daemon("b", "dc-2")
     third = make_daemon("c", "dc-3")
     for one in (here, there, third):
@@ -195,7 +195,7 @@
     return here, again
 
 
-def test_a_host_whose_clock_was_set_back_is_known_again_after_its_restart():
+def test_a_host_whose_clock_was_set_back_is_live_again_after_its_restart():
     """Guards against a live host that callers don't get for ten minutes.
 
     The host's clock was set back between two starts, so its new incarnation is lower
@@ -214,7 +214,7 @@
     assert here[1].entries.get("b").state is events.HostState.LIVE
 
 
-def test_a_data_centre_stays_reachable_when_its_one_host_of_newer_code_goes():
+def test_a_data_centre_stays_reachable_when_its_one_host_of_newer_code_leaves():
     """Guards against a data centre that seems unreachable for good during a rollout.
 
     Hosts of older code send the sum of heartbeats as the pulse. If a host of newer code
@@ -228,8 +228,8 @@
     now = NOW
     for heartbeats in range(100, 160):
         now += ROUND
-        told = gossip.DataCentreDigest("dc-2", 1, heartbeats)
-        older = gossip.GossipMessage("c", "dc-2", data_centres=(told,))
+        digest = gossip.DataCentreDigest("dc-2", 1, heartbeats)
+        older = gossip.GossipMessage("c", "dc-2", data_centres=(digest,))
         here[0].receive(gossip.GossipReceived("1", older), now)
     assert here[0].is_reachable("dc-2", now)
 
@@ -252,86 +252,86 @@
 
 def with_long_prompt(name="entry-0", elsewhere=()):
     """Return the membership and tables of a daemon that has just sent a long prompt."""
-    made, state = make_membership(name, NAMES[:3], elsewhere)
-    made.tick(NOW)
+    daemon, state = make_membership(name, NAMES[:3], elsewhere)
+    daemon.tick(NOW)
     state.take_commands()
     row = world.TargetRow("llm-1", "llm", None, "dc-1", False, "llm-1:80")
     row.sent_by_request["r"] = world.SentWork(NOW, 15_000)
     state.targets.add(row)
     state.tells_pending = True
-    return made, state
+    return daemon, state
 
 
-def told_by(made, state, now):
-    made.tick(now)
+def gossip_of(daemon, state, now):
+    daemon.tick(now)
     return [
         item for item in state.take_commands() if isinstance(item, commands.GossipTo)
     ]
 
 
-def test_a_long_prompt_is_told_inside_the_data_centre_before_the_next_round():
+def test_a_long_prompt_is_announced_inside_the_data_centre_before_the_next_round():
     """Guards against two long prompts that queue at one engine while others idle.
 
     Two hosts receive a long prompt each within a tenth of a second. If the second host
     learns of the first prompt only in the next gossip round, it picks the same engine.
     """
-    made, state = with_long_prompt(elsewhere=["entry-9"])
-    told = told_by(made, state, NOW + ROUND / 4)
-    assert {item.peer_address for item in told} == {"entry-1:81", "entry-2:81"}
-    message = told[0].message
+    daemon, state = with_long_prompt(elsewhere=["entry-9"])
+    sent_messages = gossip_of(daemon, state, NOW + ROUND / 4)
+    assert {item.peer_address for item in sent_messages} == {"entry-1:81", "entry-2:81"}
+    message = sent_messages[0].message
     assert message.brief
     (pending,) = message.pending
     assert (pending.life.name, pending.tokens) == ("llm-1", 15_000)
-    assert told_by(made, state, NOW + ROUND / 2) == []
+    assert gossip_of(daemon, state, NOW + ROUND / 2) == []
 
 
-def test_a_brief_message_is_answered_with_what_waits_alone():
-    made, state = make_membership("entry-1", NAMES[:3])
+def test_a_brief_message_is_answered_with_pending_work_only():
+    daemon, state = make_membership("entry-1", NAMES[:3])
     row = world.TargetRow("llm-1", "llm", None, "dc-1", False, "llm-1:80")
     state.targets.add(row)
     sender, _ = with_long_prompt()
     message = sender._pending_work_message()
-    made.receive(gossip.GossipReceived("x", message), NOW)
+    daemon.receive(gossip.GossipReceived("x", message), NOW)
     (reply,) = state.take_commands()
     assert reply.message == gossip.GossipMessage("entry-1", "dc-1", brief=True)
     assert row.peer_work_by_entry["entry-0"].tokens == 15_000
 
 
-def test_a_lost_host_is_dead_soon_also_to_a_mate_that_started_after_its_loss():
+def test_a_lost_host_is_dead_soon_also_to_a_peer_that_started_after_its_loss():
     """Guards against a lost host that callers get for more than 6 s after its loss.
 
     The only other host of its data centre, the only one that may call it dead, restarts
     just then and learns of it from another data centre. If the silence counts from that
     moment, the lost host stays live too long.
     """
-    last_word = NOW
-    started = last_word + datetime.timedelta(seconds=1.7)
-    made, state = make_membership("entry-0", ["entry-0"], ["entry-9"])
+    lost_at = NOW
+    started = lost_at + datetime.timedelta(seconds=1.7)
+    daemon, state = make_membership("entry-0", ["entry-0"], ["entry-9"])
     lost = gossip.Member(
         "entry-1", "dc-1", "u", "p", "", 1, 9, events.HostState.LIVE, 0
     )
     message = gossip.GossipMessage("entry-9", "dc-2", members=(lost,))
-    made.answered(gossip.GossipAnswered("entry-9:81", message), started)
+    daemon.answered(gossip.GossipAnswered("entry-9:81", message), started)
     now = started
-    while now < last_word + datetime.timedelta(seconds=5):
+    while now < lost_at + datetime.timedelta(seconds=5):
         now += ROUND / 4
-        made.tick(now)
+        daemon.tick(now)
     assert state.entries.get("entry-1").state is events.HostState.DEAD
 
 
-def test_a_listed_host_that_is_lost_is_dead_soon_to_a_mate_that_started_after():
+def test_a_listed_host_that_is_lost_is_dead_soon_to_a_peer_that_started_after():
     """Guards against a lost host that callers get because the platform still lists it.
 
     The only other host of its data centre starts and reads the list. If the silence
     counts from that read, a host that was lost long before stays live too long.
     """
-    made, state = make_membership("entry-0", ["entry-0"])
+    daemon, state = make_membership("entry-0", ["entry-0"])
     lost = events.Host("entry-1", "entry", "dc-1", "u", "p", "", 1)
     catalogue.Catalogue(state).list_entries([lost], NOW)
     now = NOW
     while now < NOW + state.policy.suspect_after:
         now += ROUND / 4
-        made.tick(now)
+        daemon.tick(now)
     assert state.entries.get("entry-1").state is events.HostState.DEAD
 
 
@@ -341,9 +341,9 @@
 ENOUGH_ROUNDS = startupprobes.UNANSWERED_ROUNDS * INTERVAL + 2 * TICK
 
 
-def tell_of(daemon, name, now, heartbeat=9, incarnation=1, data_centre="dc-2"):
+def send_record(daemon, name, now, heartbeat=9, incarnation=1, data_centre="dc-2"):
     """Send a daemon a record of a host in "dc-1" from a peer of another data centre."""
-    told = gossip.Member(
+    record = gossip.Member(
         name,
         "dc-1",
         f"{name}:80",
@@ -354,15 +354,15 @@
         events.HostState.LIVE,
         0,
     )
-    message = gossip.GossipMessage("elsewhere", data_centre, members=(told,))
+    message = gossip.GossipMessage("elsewhere", data_centre, members=(record,))
     daemon[0].answered(gossip.GossipAnswered("elsewhere:81", message), now)
 
 
 def answer(other, message, now):
     """Return a daemon's reply, and keep the other commands that it had emitted."""
-    made, state = other
+    daemon, state = other
     kept = state.take_commands()
-    made.receive(gossip.GossipReceived("1", message), now)
+    daemon.receive(gossip.GossipReceived("1", message), now)
     (reply,) = [
         item for item in state.take_commands() if isinstance(item, commands.GossipReply)
     ]
@@ -374,7 +374,7 @@
 def exchange(daemons, cut, now):
     """Deliver the gossip of all daemons, except over links that are cut."""
     daemon_by_address = {row[1].me.peer_address: row for row in daemons}
-    for made, state in daemons:
+    for daemon, state in daemons:
         for command in state.take_commands():
             if not isinstance(command, commands.GossipTo):
                 continue
@@ -383,7 +383,7 @@
             if other is None or {state.me.name, other[1].me.name} in cut:
                 continue
             message = answer(other, command.message, now)
-            made.answered(gossip.GossipAnswered(address, message), now)
+            daemon.answered(gossip.GossipAnswered(address, message), now)
 
 
 def play(daemons, now, duration, cut=()):
@@ -398,8 +398,8 @@
     dead_names = set()
     while now < until:
         now += TICK
-        for made, _ in daemons:
-            made.tick(now)
+        for daemon, _ in daemons:
+            daemon.tick(now)
         exchange(daemons, cut, now)
         for _, state in daemons:
             dead_names |= {
@@ -424,24 +424,24 @@
     for daemon in daemons:
         for name in names:
             if name != daemon[1].me.name:
-                tell_of(daemon, name, NOW, heartbeat=500)
+                send_record(daemon, name, NOW, heartbeat=500)
     _, dead_names = play(daemons, NOW, 10 * INTERVAL)
     assert dead_names == set()
     for daemon in daemons:
         assert {row.incarnation for row in daemon[1].entries} == {2}
 
 
-def test_a_mate_that_is_slow_for_two_rounds_is_not_called_dead():
+def test_a_peer_that_is_slow_for_two_rounds_is_not_called_dead():
     here, slow = make_daemon("a", "dc-1"), make_daemon("b", "dc-1")
     slow[1].entries.get("b").heartbeat = 9
-    tell_of(here, "b", NOW)
+    send_record(here, "b", NOW)
     now, dead_names = play([here], NOW, 2 * INTERVAL)
     assert dead_names == set()
     _, dead_names = play([here, slow], now, 10 * INTERVAL)
     assert dead_names == set()
 
 
-def test_a_mate_that_was_frozen_is_back_as_soon_as_it_is_heard_of():
+def test_a_peer_that_was_frozen_is_live_with_its_first_message():
     """Guards against a live host that stays dead in a peer's table after a pause.
 
     A host starts while its peer is frozen, and calls it dead. Once the peer wakes up,
@@ -451,14 +451,14 @@
     here, frozen = make_daemon("a", "dc-1"), make_daemon("b", "dc-1")
     frozen[1].entries.get("b").heartbeat = 9
     introduce(frozen[1], here[1])
-    tell_of(here, "b", NOW)
+    send_record(here, "b", NOW)
     now, _ = play([here], NOW, ENOUGH_ROUNDS)
     assert state_of(here, "b") is events.HostState.DEAD
     play([here, frozen], now, INTERVAL + TICK)
     assert state_of(here, "b") is events.HostState.LIVE
 
 
-def test_a_host_that_wakes_from_a_pause_hears_its_mates_before_it_judges_them():
+def test_a_host_that_wakes_from_a_pause_reads_replies_before_it_judges_peers():
     """Guards against a live peer that is called dead although its replies have arrived.
 
     A host starts, contacts its peer and is paused while the replies come. When it wakes
@@ -466,7 +466,7 @@
     read the replies.
     """
     here = make_daemon("a", "dc-1")
-    tell_of(here, "b", NOW)
+    send_record(here, "b", NOW)
     now, _ = play([here], NOW, (startupprobes.UNANSWERED_ROUNDS - 1) * INTERVAL + TICK)
     now += 2 * INTERVAL
     here[0].tick(now)
@@ -475,14 +475,14 @@
     assert dead_names == {"b"}
 
 
-def test_rounds_that_follow_at_once_count_as_one():
+def test_rounds_within_an_interval_count_as_one():
     """Guards against a live peer that fails because rounds follow too fast.
 
     A host that starts has updates to send, so it starts a round at every tick. If each
     counted, its peer would have to reply to three within a third of a second.
     """
     here = make_daemon("a", "dc-1")
-    tell_of(here, "b", NOW)
+    send_record(here, "b", NOW)
     now = NOW
     for _ in range(2 * startupprobes.UNANSWERED_ROUNDS):
         now += TICK
@@ -491,7 +491,7 @@
     assert state_of(here, "b") is events.HostState.LIVE
 
 
-def test_a_mate_that_is_not_heard_is_asked_itself_in_each_round():
+def test_a_peer_that_was_never_heard_from_is_contacted_in_each_round():
     """Guards against live peers that are called dead without ever being contacted.
 
     A round goes to two of twenty hosts, chosen at random. A host that starts must also
@@ -499,19 +499,21 @@
     """
     here = make_daemon("a", "dc-1")
     for name in NAMES:
-        tell_of(here, name, NOW)
-    told = told_by(*here, NOW + TICK)
-    assert {item.peer_address for item in told} >= {f"{name}:81" for name in NAMES}
+        send_record(here, name, NOW)
+    sent_messages = gossip_of(*here, NOW + TICK)
+    assert {item.peer_address for item in sent_messages} >= {
+        f"{name}:81" for name in NAMES
+    }
     for name in NAMES:
         message = gossip.GossipMessage(name, "dc-1")
         here[0].answered(gossip.GossipAnswered(f"{name}:81", message), NOW + TICK)
-    told = told_by(*here, NOW + TICK + INTERVAL)
-    assert len(told) == membership.PEERS_INSIDE
+    sent_messages = gossip_of(*here, NOW + TICK + INTERVAL)
+    assert len(sent_messages) == membership.PEERS_INSIDE
 
 
-def test_a_mate_that_has_spoken_keeps_the_usual_patience():
+def test_a_peer_that_was_heard_from_keeps_the_usual_timeout():
     here, there = make_daemon("a", "dc-1"), make_daemon("b", "dc-1")
-    tell_of(here, "b", NOW)
+    send_record(here, "b", NOW)
     now, _ = play([here, there], NOW, 2 * INTERVAL)
     now, dead_names = play([here], now, here[1].policy.suspect_after)
     assert dead_names == set()
@@ -519,52 +521,52 @@
     assert dead_names == {"b"}
 
 
-def test_a_mate_whom_only_others_of_its_data_centre_reach_is_not_called_dead():
+def test_a_peer_that_only_others_of_its_data_centre_reach_is_not_called_dead():
     """Guards against a live peer that is called dead because of one broken link.
 
     The link between a host that has just started and its peer is cut. A third host of
     the data centre reaches both and gossips the peer's heartbeats.
     """
-    here, mate, third = (make_daemon(name, "dc-1") for name in "abc")
-    mate[1].entries.get("b").heartbeat = 9
-    introduce(third[1], mate[1])
-    introduce(mate[1], third[1])
+    here, peer, third = (make_daemon(name, "dc-1") for name in "abc")
+    peer[1].entries.get("b").heartbeat = 9
+    introduce(third[1], peer[1])
+    introduce(peer[1], third[1])
     introduce(here[1], third[1])
-    tell_of(here, "b", NOW)
-    _, dead_names = play([here, mate, third], NOW, 10 * INTERVAL, cut=[{"a", "b"}])
+    send_record(here, "b", NOW)
+    _, dead_names = play([here, peer, third], NOW, 10 * INTERVAL, cut=[{"a", "b"}])
     assert dead_names == set()
 
 
-def test_a_lost_host_is_not_brought_back_by_an_old_record_from_elsewhere():
+def test_a_dead_host_is_not_made_live_by_an_old_record_from_elsewhere():
     """Guards against a dead host that callers get again.
 
     Data centres know different heartbeats of a lost host. A record with a higher
     heartbeat than that of the record which calls it dead would make it live again.
     """
     here = make_daemon("a", "dc-1")
-    tell_of(here, "b", NOW)
+    send_record(here, "b", NOW)
     now, _ = play([here], NOW, ENOUGH_ROUNDS)
     assert state_of(here, "b") is events.HostState.DEAD
-    tell_of(here, "b", now, heartbeat=12, data_centre="dc-3")
+    send_record(here, "b", now, heartbeat=12, data_centre="dc-3")
     row = here[1].entries.get("b")
     assert (row.state, row.heartbeat) == (events.HostState.DEAD, 12)
-    tell_of(here, "b", now, heartbeat=1, incarnation=2)
+    send_record(here, "b", now, heartbeat=1, incarnation=2)
     assert state_of(here, "b") is events.HostState.LIVE
     _, dead_names = play([here], now, INTERVAL)
     assert dead_names == set()
 
 
-def test_a_mistaken_death_does_not_go_before_a_higher_heartbeat():
+def test_a_wrong_record_of_a_death_loses_to_a_higher_heartbeat():
     """Guards against a live host that spreads as dead because of one broken link.
 
     A host that starts behind a cut link calls a live peer dead. A third host, which
     knows a higher heartbeat of the peer, keeps it live and corrects the first host.
     """
     here, third = make_daemon("a", "dc-1"), make_daemon("c", "dc-1")
-    mate = make_daemon("b", "dc-1")
-    mate[1].entries.get("b").heartbeat = 20
-    introduce(third[1], mate[1])
-    tell_of(here, "b", NOW)
+    peer = make_daemon("b", "dc-1")
+    peer[1].entries.get("b").heartbeat = 20
+    introduce(third[1], peer[1])
+    send_record(here, "b", NOW)
     now, _ = play([here], NOW, ENOUGH_ROUNDS)
     assert state_of(here, "b") is events.HostState.DEAD
     introduce(here[1], third[1])
@@ -574,7 +576,7 @@
     assert state_of(here, "b") is events.HostState.LIVE
 
 
-def test_where_a_death_frees_slices_a_mate_is_not_given_up_early():
+def test_where_a_death_frees_slices_a_peer_is_not_called_dead_early():
     """Guards against slices of an account that add up to more than its limit.
 
     A new owner counts the slices of all entries that aren't dead. An entry that is cut
@@ -582,38 +584,38 @@
     called dead before that.
     """
     me = events.Host("a", "entry", "dc-1", "a:80", "a:81", "", 1)
-    made = core.Core(me)
-    here = (made.membership, made.state)
-    tell_of(here, "b", NOW)
-    _, dead_names = play([here], NOW, made.state.policy.grant_lifetime)
+    daemon = core.Core(me)
+    here = (daemon.membership, daemon.state)
+    send_record(here, "b", NOW)
+    _, dead_names = play([here], NOW, daemon.state.policy.grant_lifetime)
     assert dead_names == set()
 
 
-def test_the_version_of_a_target_is_told_while_it_is_news():
+def test_a_new_version_of_a_target_is_sent_in_a_few_rounds():
     """Guards against versions that cost an idle daemon half its work, or get lost.
 
     A daemon sees an engine answer on new weights and announces the version. The
     versions of 40 engines in every message were half of an idle daemon's work; sent
     only once, the version would not reach a peer that misses the message.
     """
-    made, state = make_membership("entry-0")
+    daemon, state = make_membership("entry-0")
     row = world.TargetRow("llm-1", "llm", None, "dc-1", False)
     state.targets.add(row)
     row.learn_version("m", 2)
-    told = []
+    announced = []
     for number in range(world.VERSION_ROUNDS + 2):
         state.take_commands()
-        made.spread(NOW + number * ROUND)
+        daemon.spread(NOW + number * ROUND)
         sent = [
             item
             for item in state.take_commands()
             if isinstance(item, commands.GossipTo)
         ]
-        told.append(bool(sent[0].message.target_versions))
-    assert told == [True] * world.VERSION_ROUNDS + [False, False]
+        announced.append(bool(sent[0].message.target_versions))
+    assert announced == [True] * world.VERSION_ROUNDS + [False, False]
 
 
-def test_daemons_of_a_large_data_centre_take_turns_outside():
+def test_few_daemons_of_a_large_data_centre_gossip_outside():
     """Guards against needless traffic between data centres.
 
     Forty daemons start a round every 0.4 s. If each also gossiped with another data
@@ -622,11 +624,11 @@
     """
     for count, low, high in ((4, 200, 200), (40, 20, 60)):
         names = [f"entry-{number}" for number in range(count)]
-        made, state = make_membership("entry-0", names, ["far-1"])
+        daemon, state = make_membership("entry-0", names, ["far-1"])
         begun = 0
         for number in range(200):
             state.take_commands()
-            made.spread(NOW + number * ROUND)
+            daemon.spread(NOW + number * ROUND)
             begun += sum(
                 item.peer_address == "far-1:81" for item in state.take_commands()
             )
