--- a/tests/decide/test_lease.py
+++ b/tests/decide/test_lease.py
@@ -1,4 +1,4 @@
-"""The lease under which one host orders engines."""
+"""The lease under which one host at a time gives orders to engines."""
 
 import datetime
 import itertools
@@ -31,7 +31,7 @@
         self.lease = lease.Lease(self.state, DURATION, lambda data_centre, now: True)
         self.store = store
         self.cut_off = False
-        # Whether engines are behind here, so that orders are to be given.
+        # Whether there are orders to give, as in a rollout of new weights.
         self.orders = False
 
     def tick(self, now):
@@ -51,11 +51,11 @@
         return out
 
     def noted(self, kind):
-        """Return the notes of a kind."""
+        """Return the event notes of a kind."""
         return [note for note in self.notes if note.kind == kind]
 
     def sent(self, now):
-        """Tick, and return the writes that go out; nobody answers them."""
+        """Tick, and return the writes that are sent; they get no answer."""
         self.lease.tick(now)
         out = self.state.take_commands()
         return [command for command in out if isinstance(command, lease.WriteLease)]
@@ -78,7 +78,7 @@
 
 @pytest.fixture
 def hosts():
-    """Give two hosts at one store, of which the first holds the lease."""
+    """Return two hosts at one store, the first of which holds the lease."""
     store = [None, 0]
     made = [Host("entry-1", store), Host("entry-2", store)]
     for step in range(3):
@@ -87,10 +87,10 @@
 
 
 def run(hosts, until, start=0.3, step=0.1, ordering=False):
-    """Tick both hosts; return when each was seen to hold the lease, by name.
+    """Tick all hosts; return the times, in seconds, at which each held the lease.
 
-    With `ordering` each has engines to order, and it is returned when each might
-    act.
+    With `ordering` each host has orders to give, and the times are those at which it
+    might act. The keys are host names.
     """
     held_at_by_name = {}
     at = start
@@ -110,10 +110,10 @@
 
 
 def test_a_paused_holder_does_not_act_when_it_wakes_up(hosts):
-    """The holder is paused for five seconds and wakes up.
+    """Guards against an order under an old epoch by a holder that was paused.
 
-    Others took the lease meanwhile. The first thing it does must not be an
-    order under the old epoch.
+    The holder is paused for several seconds, and another host takes the lease. When
+    the first one wakes up, it must find that it no longer holds the lease.
     """
     run(hosts, 1)
     run(hosts[1:], 8, start=1)
@@ -124,10 +124,11 @@
 
 
 def test_two_holders_acts_lie_a_lease_time_apart(hosts):
-    """The holder is cut off from the store while it gives orders.
+    """Guards against orders of two hosts within a lease duration.
 
-    The next one waits until the last order under the old epoch is a whole
-    lease time old, with or without word from the old holder.
+    The holder is cut off from the store while it gives orders. The next holder waits
+    until the last order under the old epoch is a whole lease duration old, even if the
+    old holder sends nothing.
     """
     run(hosts, 2, ordering=True)
     hosts[0].cut_off = True
@@ -137,10 +138,11 @@
 
 
 def test_a_holder_that_tells_that_it_stopped_is_followed_sooner(hosts):
-    """The holder is cut off from the store but reaches its peer.
+    """Guards against a full wait for a holder that has released its lease.
 
-    It says that it gives up its epoch, and when it acted last. The wait counts
-    from that act, not from the last renewal that the peer saw.
+    The holder is cut off from the store but reaches its peer. It announces that it
+    releases its epoch, and when it acted last. The peer's wait counts from that act,
+    not from the last renewal that the peer saw.
     """
     run(hosts, 2, ordering=True)
     assert hosts[0].lease.may_act(NOW + seconds(2))
@@ -157,10 +159,10 @@
 
 
 def test_a_released_epoch_is_never_acted_under_again(hosts):
-    """A renewal takes effect although its answer came too late.
+    """Guards against acts under an epoch that its holder has released.
 
-    The holder has given the epoch up by then and told so; the late answer must
-    not make it the holder again.
+    A renewal takes effect, but its answer comes after the holder has released the epoch
+    and announced that. The late answer must not make it the holder again.
     """
     run(hosts, 1)
     late = NOW + seconds(5)
@@ -172,11 +174,12 @@
 
 
 def test_a_renewal_with_a_lost_answer_counts_from_when_it_was_sent(hosts):
-    """A renewal takes effect at once, but its answer is lost.
+    """Guards against acts of two holders that are less than a lease duration apart.
 
-    The holder asks 0.7 s later and finds its renewal. Others may have seen it
-    0.7 s ago and count from then; a holder that counts from its question acts
-    until 2.6 s before the next one does, where a lease time must lie between.
+    A renewal takes effect at once, but its answer is lost. The holder reads the lease
+    0.7 s later and finds its renewal, which others may have seen 0.7 s ago. If the
+    holder counted from its read, it would act until 2.6 s before the next holder does;
+    the lease duration is 3 s.
     """
     run(hosts, 1)
     holder = hosts[0]
@@ -193,10 +196,11 @@
 
 
 def test_a_lease_that_comes_to_a_leaving_host_is_released_at_once():
-    """A host is told to leave while its write that takes the lease is under way.
+    """Guards against engines that get no orders because a leaving host takes the lease.
 
-    The write took effect, and the host that was to end held the lease for half
-    of its time: engines got no orders from the next one until long after.
+    A host is ordered to leave while its write that takes the lease is in flight. The
+    write takes effect, and without a release others would wait for a holder that never
+    acts.
     """
     store = [None, 0]
     leaving, following = Host("entry-1", store), Host("entry-2", store)
@@ -225,11 +229,11 @@
 
 
 def test_a_host_that_starts_again_takes_its_own_lease_at_once(hosts):
-    """All hosts lose power and come back 2.5 s later.
+    """Guards against engines that get no orders for 5 s after a loss of power.
 
-    The record names the host that held the lease before. It waited with all the
-    others until its own earlier process could no longer act, which is gone, and
-    engines got no order for five seconds.
+    All hosts restart 2.5 s later, and the record names one of them as the holder. Its
+    earlier process has ended, so it needn't wait like the others until that process
+    can no longer act.
     """
     run(hosts, 2)
     store = hosts[0].store
@@ -242,10 +246,11 @@
 
 @pytest.mark.parametrize("incarnation", [1, 2])
 def test_a_host_of_the_same_name_elsewhere_waits_like_any_other(hosts, incarnation):
-    """A host comes under the name of one that still runs, at another address.
+    """Guards against two hosts of one name that both give orders.
 
-    The one before may act until its lease is over. Taking the lease for one's
-    own by the name alone would let both order engines.
+    A host starts under the name of one that still runs, at another address. The first
+    one may act until its lease expires, so the name alone must not make the lease the
+    second one's own.
     """
     run(hosts, 2, ordering=True)
     twin = Host("entry-1", hosts[0].store, "elsewhere:81", incarnation)
@@ -255,9 +260,10 @@
 
 
 def test_a_record_without_an_address_is_waited_for():
-    """The record was written by a release that stored no address.
+    """Guards against taking another host's lease by the name alone.
 
-    It may be of another host under this one's name.
+    A record of an earlier release contains no address, so it may belong to another host
+    with the same name.
     """
     store = [lease.LeaseRecord("entry-1/1", 7, 3), 9]
     host = Host("entry-1", store, incarnation=2)
@@ -267,10 +273,11 @@
 
 
 def test_a_host_that_held_the_lease_takes_it_whatever_its_rank():
-    """The holder isn't among the first two by rank, and starts again.
+    """Guards against a full wait for a holder that has restarted.
 
-    Only those two looked at the lease. They wait in full for a host that is
-    back, while it did not ask whose the lease is.
+    The holder isn't among the first two hosts by rank, which are the candidates. If
+    only those read the lease, they wait in full for the holder, which could take its
+    own lease at once but doesn't read it.
     """
     names = hashing.rank("lease", [f"entry-{number}" for number in range(6)])
     store = [None, 0]
@@ -297,10 +304,10 @@
 
 
 def test_a_host_whose_store_turns_it_away_stops_asking_whose_the_lease_is():
-    """A host of low rank starts while the store turns it away.
+    """Guards against needless calls to a store that refuses a host.
 
-    It asks whether the lease is its own for as long as that would save a wait;
-    each refused call is charged for.
+    A host of low rank that starts reads the lease, to find out whether it was the
+    holder, only for as long as that can save a wait. Refused calls are charged too.
     """
     names = hashing.rank("lease", [f"entry-{number}" for number in range(6)])
     host = Host(names[-1], [None, 0], others=names[:-1])
@@ -317,10 +324,11 @@
 
 
 def test_acts_of_an_earlier_life_count_when_the_lease_is_given_up():
-    """A holder acts, starts again, takes its lease and loses the store.
+    """Guards against a release that names too early a last act.
 
-    It tells its peers when it acted last. Its earlier life may have acted just
-    before it ended, which the new one can't know.
+    A holder acts, restarts, takes its lease and loses the store. It announces when it
+    acted last. Its earlier incarnation may have acted just before it ended, which the
+    new one can't know.
     """
     store = [None, 0]
     run([Host("entry-1", store)], 3, start=0, ordering=True)
@@ -332,18 +340,18 @@
 
 
 def record(idle=True, epoch=7):
-    """Return a record of a host that is none of the tests' own."""
+    """Return a record that is held by a host outside the test."""
     return lease.LeaseRecord("entry-9/1/entry-9:81", epoch, 3, idle)
 
 
 def written(host, now):
-    """Tick, and return the one write that goes out; nobody answers it."""
+    """Tick, and return the one write that is sent; it gets no answer."""
     (write,) = host.sent(now)
     return write
 
 
 def idle_holder():
-    """Return a host whose lease is idle, and the time."""
+    """Return a host whose lease is idle, and the time in seconds."""
     host = Host("entry-1", [None, 0])
     run([host], 5, start=0)
     assert host.store[0].idle
@@ -351,10 +359,10 @@
 
 
 def test_an_idle_lease_is_taken_soon_after_its_holder_is_lost():
-    """All hosts are killed at once, and the holder is lost for good.
+    """Guards against a rollout that waits 4.8 s although nobody can have acted lately.
 
-    Nothing was being ordered, so nobody can have acted lately. The others waited
-    for 4.8 s all the same, and new weights that were named meanwhile waited too.
+    All hosts are killed at once, and the holder of an idle lease is lost for good. The
+    others needn't wait for the full time, and new weight versions needn't either.
     """
     store = [record(), 9]
     held = run([Host("entry-1", store), Host("entry-2", store)], 6, start=0)
@@ -398,10 +406,11 @@
 
 
 def test_nothing_is_ordered_under_an_idle_lease_until_it_says_otherwise():
-    """Weights are named while the lease is idle.
+    """Guards against orders of two hosts within a lease duration.
 
-    Others may take an idle lease at any moment. An order before the record says
-    that orders can follow would come within a lease time of theirs.
+    A weight version is announced while the lease is idle. Others may take an idle lease
+    at any moment, so the holder must not act before the stored record is no longer
+    idle.
     """
     host, at = idle_holder()
     now = NOW + seconds(at)
@@ -415,10 +424,11 @@
 
 
 def test_no_order_follows_once_a_write_that_says_so_was_sent():
-    """The write that makes the lease idle gets no answer, and takes effect late.
+    """Guards against acts under a lease that may become idle at any moment.
 
-    Weights are named meanwhile. The record still says that orders may follow, and
-    will say the opposite at any moment.
+    The write that makes the lease idle gets no answer and takes effect late. A weight
+    version is announced meanwhile. The stored record isn't idle yet, but the write in
+    flight may change that.
     """
     host = Host("entry-1", [None, 0])
     run([host], 0.3, start=0)
@@ -447,9 +457,9 @@
 
 
 def test_a_holder_whose_idle_lease_was_taken_orders_nothing():
-    """Two hosts want to act: the holder of an idle lease, and one that takes it.
+    """Guards against orders of two hosts: an idle lease's holder and one that takes it.
 
-    The store carries out one of both writes, as both replace the same revision.
+    Both send a write that replaces the same revision, so only one takes effect.
     """
     host, at = idle_holder()
     taken = record(idle=False, epoch=host.store[0].epoch + 1)
@@ -461,10 +471,11 @@
 
 
 def test_a_lease_is_not_idle_at_once_that_an_earlier_life_acted_under(hosts):
-    """A holder orders engines, starts again at once and is lost a second later.
+    """Guards against a lease that is idle too soon after an earlier incarnation acted.
 
-    Its new life never acted. If it called the lease idle, another host could order
-    engines within a lease time of what the earlier life ordered.
+    A holder gives orders, restarts at once and is lost a second later. Its new
+    incarnation never acted. If it wrote the lease as idle, another host could give
+    orders within a lease duration of those of the earlier incarnation.
     """
     run(hosts, 2, ordering=True)
     store = hosts[0].store
@@ -474,10 +485,11 @@
 
 
 def test_an_answer_to_a_write_that_was_given_up_lets_nobody_act():
-    """A write that takes the lease gets its answer after another one was sent.
+    """Guards against a hold that counts from a later write than others count from.
 
-    The host stood still meanwhile. Others have seen the first write since it took
-    effect and count from then, so it mustn't count from the second.
+    A write that takes the lease gets its answer after another one was sent, as the host
+    was paused. Others may have seen the first write since it took effect, so the host
+    must not count from the second.
     """
     host = Host("entry-1", [None, 0])
     run([host], 0.05, start=0)
@@ -490,11 +502,10 @@
 
 
 def test_an_old_answer_does_not_bring_an_epoch_back():
-    """A host asks for the lease and stands still before it has the answer.
+    """Guards against orders with a lower epoch than engines have already seen.
 
-    It wakes up, takes the lease under a higher epoch, and gets the old answer then.
-    Its orders bore the epoch of that answer, which is lower than that of orders
-    that engines have had.
+    A host reads the lease and is paused before the answer comes. It wakes up, takes the
+    lease under a higher epoch, and only then gets the old answer with the lower epoch.
     """
     old = lease.LeaseRecord("entry-1/1/entry-1:81", 6, 3)
     store = [old, 9]
@@ -515,14 +526,14 @@
 
 
 class Play:
-    """Hosts that order engines at a store whose answers are late or lost.
+    """A simulation of hosts that give orders, with a store whose answers may be lost.
 
     Parameters
     ----------
     seed : int
-        Draws the faults: writes that are lost, that take effect late or whose
-        answer is lost, hosts that stand still, start again or lose the store, and
-        word between peers that is late or doesn't come.
+        Seed of the faults: writes that are lost, that take effect late or whose answer
+        is late or lost; hosts that are paused, restart or lose the store; and releases
+        that reach peers late or never.
     """
 
     STEP = 0.05
@@ -540,7 +551,7 @@
         self.at = 0.0
 
     def run(self, until):
-        """Play, and return the acts: when, by which host, under which epoch."""
+        """Run the simulation; return the acts as (seconds, host name, epoch)."""
         while self.at < until:
             self.at += self.STEP
             self._deliver()
@@ -566,7 +577,7 @@
                 carry_out()
 
     def _keeps_waiting(self, number):
-        """Return whether an answer waits: its host sleeps, or ticks first."""
+        """Return whether an answer is held back: its host is paused, or ticks first."""
         return self.at < self.asleep_until[number] or self.random.random() < 0.2
 
     def _step(self, number, ordering):
@@ -602,7 +613,7 @@
                     self._answer(number, lambda: self._write(command), False)
                     return
                 if self.random.random() < 0.6:
-                    # It takes effect late, if its condition still holds.
+                    # The write takes effect late, if its revision is still current.
                     delay = self.random.choice([0.0, 0.3, 2.0, 5.0])
                     write = (self.at + delay, next(self.order), None, None)
                     self.due.append((*write, lambda: self._write(command)))
@@ -646,17 +657,17 @@
             self.hosts[number].cut_off = not self.hosts[number].cut_off
 
 
-# In 1208 an old answer brought back the epoch before.
+# With seed 1208 a late answer can bring back the previous epoch.
 SEEDS = (*range(30), 1208)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_no_fault_brings_two_hosts_acts_within_a_lease_time(seed):
-    """Hosts stand still, start again and lose the store while lease changes hands.
+    """Guards against orders of two hosts within a lease duration, under any fault.
 
-    Writes take effect late or get no answer. Engines must never get orders of two
-    hosts within a lease time, and the epoch that they compare must never fall or
-    be that of two hosts.
+    Hosts are paused, restart and lose the store while the lease changes hands, and
+    writes take effect late or get no answer. Also the epoch, which engines compare,
+    must never fall or be used by two hosts.
     """
     acts = Play(seed).run(120)
     assert acts
@@ -687,7 +698,7 @@
 
 
 def make_fleet(count):
-    """Return hosts that all know each other and ask one store, by their rank."""
+    """Return hosts that all know each other and share one store, in order of rank."""
     store = [None, 0]
     names = hashing.rank("lease", [f"entry-{number}" for number in range(count)])
     return [
@@ -697,7 +708,7 @@
 
 
 def tell_release(hosts, by):
-    """Have all hosts hear which lease its holder has given up."""
+    """Send a holder's release, if there is one, to all hosts."""
     for host in hosts:
         if by.state.lease_release is not None:
             host.state.lease_release = by.state.lease_release
@@ -719,10 +730,10 @@
 
 
 def test_other_hosts_stand_in_for_candidates_that_the_store_turns_away():
-    """The store turns the holder away, and both hosts that would follow it.
+    """Guards against engines that get no orders while most hosts reach the store.
 
-    Nobody orders engines for as long as that lasts, though forty other hosts reach
-    the store, and prompts run out of engines with the named weights.
+    The store refuses the holder and the next candidate. Without stand-ins nobody takes
+    the lease, and prompts run out of engines with the announced weight version.
     """
     hosts = make_fleet(40)
     first, second = hosts[:2]
@@ -734,10 +745,11 @@
 
 
 def test_hosts_that_stand_in_look_once_where_a_candidate_has_followed():
-    """The holder is cut off, and the next candidate takes the lease.
+    """Guards against needless reads by stand-ins once a candidate holds the lease.
 
-    Others who stand in can't know that before they have looked. Forty hosts that
-    went on looking would be forty calls a second; each looks once, and of forty few.
+    The holder is cut off, and the next candidate takes the lease. Stand-ins learn that
+    only by a read. If forty hosts went on reading, that would be forty calls a second;
+    a few of them read once each.
     """
     hosts = make_fleet(40)
     run_fleet(hosts, 0, 6)
@@ -751,7 +763,7 @@
 
 
 def _count_looks(host):
-    """Return the list to which each question of a host to the store is added."""
+    """Return a list that gets each read that a host sends to the store from now on."""
     seen, answer = [], host._answer
 
     def count(command):
@@ -764,7 +776,7 @@
 
 
 def test_few_hosts_stand_in_while_the_store_is_away_for_all():
-    """The store is down for a minute; each refused question is a call all the same."""
+    """Guards against needless calls: the store is down for all hosts for a minute."""
     hosts = make_fleet(40)
     run_fleet(hosts, 0, 6)
     for host in hosts:
