--- a/tests/decide/test_lease.py
+++ b/tests/decide/test_lease.py
@@ -32,25 +32,25 @@
         self.store = store
         self.cut_off = False
         # Whether there are orders to give, as in a rollout of new weights.
-        self.orders = False
+        self.has_orders = False
 
     def tick(self, now):
         """Tick, and let the store answer at once unless the host is cut off."""
         self.lease.tick(now)
-        if self.orders:
+        if self.has_orders:
             self.lease.ask_to_act(now)
-        for command in self._taken():
+        for command in self._collect_commands():
             answer = self._answer(command)
             if answer is not None:
                 self.lease.take(answer, now)
-                self._taken()
+                self._collect_commands()
 
-    def _taken(self):
+    def _collect_commands(self):
         out = self.state.take_commands()
         self.notes += [item for item in out if isinstance(item, commands.Note)]
         return out
 
-    def noted(self, kind):
+    def notes_of(self, kind):
         """Return the event notes of a kind."""
         return [note for note in self.notes if note.kind == kind]
 
@@ -80,10 +80,10 @@
 def hosts():
     """Return two hosts at one store, the first of which holds the lease."""
     store = [None, 0]
-    made = [Host("entry-1", store), Host("entry-2", store)]
+    two_hosts = [Host("entry-1", store), Host("entry-2", store)]
     for step in range(3):
-        made[0].tick(NOW + seconds(0.1 * step))
-    return made
+        two_hosts[0].tick(NOW + seconds(0.1 * step))
+    return two_hosts
 
 
 def run(hosts, until, start=0.3, step=0.1, ordering=False):
@@ -96,10 +96,10 @@
     at = start
     while at < until:
         for host in hosts:
-            host.orders = ordering
+            host.has_orders = ordering
             host.tick(NOW + seconds(at))
-            lets = host.lease.may_act if ordering else host.lease.is_held
-            if lets(NOW + seconds(at)):
+            is_active = host.lease.may_act if ordering else host.lease.is_held
+            if is_active(NOW + seconds(at)):
                 held_at_by_name.setdefault(host.state.me.name, []).append(at)
         at += step
     return held_at_by_name
@@ -123,7 +123,7 @@
     assert not hosts[0].lease.is_held(NOW + seconds(8))
 
 
-def test_two_holders_acts_lie_a_lease_time_apart(hosts):
+def test_acts_of_two_holders_are_a_lease_duration_apart(hosts):
     """Guards against orders of two hosts within a lease duration.
 
     The holder is cut off from the store while it gives orders. The next holder waits
@@ -137,7 +137,7 @@
     assert hosts[1].lease.epoch == 2
 
 
-def test_a_holder_that_tells_that_it_stopped_is_followed_sooner(hosts):
+def test_a_holder_that_announces_its_release_is_followed_sooner(hosts):
     """Guards against a full wait for a holder that has released its lease.
 
     The holder is cut off from the store but reaches its peer. It announces that it
@@ -195,7 +195,7 @@
     assert not holder.lease.is_held(NOW + seconds(sent_at + 1.6))
 
 
-def test_a_lease_that_comes_to_a_leaving_host_is_released_at_once():
+def test_a_leaving_host_that_gets_the_lease_releases_it_at_once():
     """Guards against engines that get no orders because a leaving host takes the lease.
 
     A host is ordered to leave while its write that takes the lease is in flight. The
@@ -228,7 +228,7 @@
     assert held["entry-2"][0] - at < 1.5
 
 
-def test_a_host_that_starts_again_takes_its_own_lease_at_once(hosts):
+def test_a_host_that_restarts_takes_its_own_lease_at_once(hosts):
     """Guards against engines that get no orders for 5 s after a loss of power.
 
     All hosts restart 2.5 s later, and the record names one of them as the holder. Its
@@ -272,7 +272,7 @@
     assert host.lease.epoch == 8
 
 
-def test_a_host_that_held_the_lease_takes_it_whatever_its_rank():
+def test_a_restarted_holder_takes_its_lease_whatever_its_rank():
     """Guards against a full wait for a holder that has restarted.
 
     The holder isn't among the first two hosts by rank, which are the candidates. If
@@ -287,7 +287,7 @@
     assert run([again], 4, start=3.5)
 
 
-def test_a_host_that_never_held_the_lease_asks_once_if_others_rank_before():
+def test_a_host_of_low_rank_that_never_held_the_lease_reads_it_once():
     names = hashing.rank("lease", [f"entry-{number}" for number in range(6)])
     store = [lease.LeaseRecord("entry-9/1/entry-9:81", 7, 3), 9]
     host = Host(names[-1], store, others=names[:-1])
@@ -303,7 +303,7 @@
     assert asked == 1
 
 
-def test_a_host_whose_store_turns_it_away_stops_asking_whose_the_lease_is():
+def test_a_host_of_low_rank_that_the_store_refuses_stops_reading():
     """Guards against needless calls to a store that refuses a host.
 
     A host of low rank that starts reads the lease, to find out whether it was the
@@ -323,7 +323,7 @@
     assert asked_at[-1] < 5
 
 
-def test_acts_of_an_earlier_life_count_when_the_lease_is_given_up():
+def test_acts_of_an_earlier_incarnation_count_when_the_lease_is_released():
     """Guards against a release that names too early a last act.
 
     A holder acts, restarts, takes its lease and loses the store. It announces when it
@@ -383,7 +383,7 @@
     assert hosts[0].store[0].epoch == 1
 
 
-def test_an_idle_lease_is_renewed_no_more_often_than_one_that_is_used(hosts):
+def test_an_idle_lease_is_renewed_no_more_often_than_an_active_one(hosts):
     def writes(ordering):
         before = hosts[0].store[1]
         run(hosts, 20, start=0.3, ordering=ordering)
@@ -395,7 +395,7 @@
     assert idle <= other.store[1]
 
 
-def test_a_lease_becomes_idle_a_lease_time_after_the_last_act(hosts):
+def test_a_lease_becomes_idle_a_lease_duration_after_the_last_act(hosts):
     run(hosts, 2, ordering=True)
     hosts[0].lease.note_act(NOW + seconds(2))
     run(hosts, 5.2, start=2)
@@ -405,7 +405,7 @@
     assert [note.kind for note in hosts[0].notes][-1] == "lease_idle"
 
 
-def test_nothing_is_ordered_under_an_idle_lease_until_it_says_otherwise():
+def test_a_holder_does_not_act_before_its_lease_is_stored_as_active():
     """Guards against orders of two hosts within a lease duration.
 
     A weight version is announced while the lease is idle. Others may take an idle lease
@@ -423,7 +423,7 @@
     assert host.lease.may_act(now)
 
 
-def test_no_order_follows_once_a_write_that_says_so_was_sent():
+def test_a_holder_does_not_act_after_it_sent_an_idle_write():
     """Guards against acts under a lease that may become idle at any moment.
 
     The write that makes the lease idle gets no answer and takes effect late. A weight
@@ -456,7 +456,7 @@
     assert active.replaces == idle.replaces
 
 
-def test_a_holder_whose_idle_lease_was_taken_orders_nothing():
+def test_a_holder_whose_idle_lease_was_taken_over_does_not_act():
     """Guards against orders of two hosts: an idle lease's holder and one that takes it.
 
     Both send a write that replaces the same revision, so only one takes effect.
@@ -464,13 +464,13 @@
     host, at = idle_holder()
     taken = record(idle=False, epoch=host.store[0].epoch + 1)
     host.store[:] = [taken, host.store[1] + 1]
-    host.orders = True
+    host.has_orders = True
     host.tick(NOW + seconds(at))
     assert not host.lease.may_act(NOW + seconds(at))
     assert not host.lease.is_held(NOW + seconds(at))
 
 
-def test_a_lease_is_not_idle_at_once_that_an_earlier_life_acted_under(hosts):
+def test_a_lease_is_not_idle_soon_after_an_earlier_incarnation_acted(hosts):
     """Guards against a lease that is idle too soon after an earlier incarnation acted.
 
     A holder gives orders, restarts at once and is lost a second later. Its new
@@ -484,7 +484,7 @@
     assert not store[0].idle
 
 
-def test_an_answer_to_a_write_that_was_given_up_lets_nobody_act():
+def test_an_answer_to_an_abandoned_write_gives_no_hold():
     """Guards against a hold that counts from a later write than others count from.
 
     A write that takes the lease gets its answer after another one was sent, as the host
@@ -517,7 +517,7 @@
     assert host.lease.may_act(NOW + seconds(0.3))
 
 
-def test_a_changed_use_of_the_lease_is_noted(hosts):
+def test_changes_between_idle_and_active_are_noted(hosts):
     run(hosts, 5)
     run(hosts, 6, start=5, ordering=True)
     run(hosts, 9, start=6)
@@ -525,7 +525,7 @@
     assert kinds == ["lease_taken", "lease_idle", "lease_active", "lease_idle"]
 
 
-class Play:
+class Simulation:
     """A simulation of hosts that give orders, with a store whose answers may be lost.
 
     Parameters
@@ -537,14 +537,14 @@
     """
 
     STEP = 0.05
-    ANSWER_GIVEN_UP = 0.7
+    ANSWER_TIMEOUT = 0.7
 
     def __init__(self, seed):
         self.random = random.Random(seed)
         self.store = [None, 0]
         self.hosts = [Host(f"entry-{number}", self.store) for number in range(3)]
-        self.asleep_until = [0.0] * 3
-        self.lives = [1] * 3
+        self.paused_until = [0.0] * 3
+        self.incarnations = [1] * 3
         self.due = []
         self.order = itertools.count()
         self.acts = []
@@ -557,28 +557,28 @@
             self._deliver()
             for number in range(3):
                 if self.random.random() < 0.05:
-                    self.hosts[number].orders = not self.hosts[number].orders
-                if self.at >= self.asleep_until[number]:
-                    self._step(number, self.hosts[number].orders)
-                self._trouble(number)
+                    self.hosts[number].has_orders = not self.hosts[number].has_orders
+                if self.at >= self.paused_until[number]:
+                    self._step(number, self.hosts[number].has_orders)
+                self._inject_fault(number)
         return self.acts
 
-    def _later(self, delay, number, carry_out):
-        item = (self.at + delay, next(self.order), number, self.lives[number])
+    def _schedule(self, delay, number, carry_out):
+        item = (self.at + delay, next(self.order), number, self.incarnations[number])
         self.due.append((*item, carry_out))
 
     def _deliver(self):
         for item in sorted(item for item in self.due if item[0] <= self.at):
-            _, _, number, life, carry_out = item
-            if number is not None and self._keeps_waiting(number):
+            _, _, number, started_as, carry_out = item
+            if number is not None and self._is_held_back(number):
                 continue
             self.due.remove(item)
-            if number is None or life == self.lives[number]:
+            if number is None or started_as == self.incarnations[number]:
                 carry_out()
 
-    def _keeps_waiting(self, number):
+    def _is_held_back(self, number):
         """Return whether an answer is held back: its host is paused, or ticks first."""
-        return self.at < self.asleep_until[number] or self.random.random() < 0.2
+        return self.at < self.paused_until[number] or self.random.random() < 0.2
 
     def _step(self, number, ordering):
         host = self.hosts[number]
@@ -591,9 +591,9 @@
             self.acts.append((self.at, host.state.me.name, host.lease.epoch))
         for command in host.state.take_commands():
             self._carry_out(number, command)
-        self._tell_peers(number)
+        self._send_release(number)
 
-    def _tell_peers(self, number):
+    def _send_release(self, number):
         release = self.hosts[number].state.lease_release
         other = self.hosts[self.random.randrange(3)].state
         known = other.lease_release
@@ -619,16 +619,16 @@
                     self.due.append((*write, lambda: self._write(command)))
                 self._answer(number, None, True)
 
-    def _answer(self, number, make, lost):
+    def _answer(self, number, access_store, lost):
         host = self.hosts[number]
         if lost or host.cut_off:
             unknown = lease.LeaseUnknown()
-            delay = self.ANSWER_GIVEN_UP
-            self._later(delay, number, lambda: self._take(number, unknown))
+            delay = self.ANSWER_TIMEOUT
+            self._schedule(delay, number, lambda: self._take(number, unknown))
             return
-        answer = make()
+        answer = access_store()
         delay = self.random.choice([0.0, 0.0, 0.1, 0.6])
-        self._later(delay, number, lambda: self._take(number, answer))
+        self._schedule(delay, number, lambda: self._take(number, answer))
 
     def _take(self, number, answer):
         host = self.hosts[number]
@@ -643,15 +643,15 @@
         self.store[:] = [command.record, revision + 1]
         return lease.LeaseWritten(command.record, revision + 1)
 
-    def _trouble(self, number):
+    def _inject_fault(self, number):
         drawn = self.random.random()
         if drawn < 0.015:
-            self.asleep_until[number] = self.at + self.random.uniform(0.3, 9)
+            self.paused_until[number] = self.at + self.random.uniform(0.3, 9)
         elif drawn < 0.021:
-            self.asleep_until[number] = self.at + self.random.uniform(0.1, 3)
-            self.lives[number] += 1
+            self.paused_until[number] = self.at + self.random.uniform(0.1, 3)
+            self.incarnations[number] += 1
             name = self.hosts[number].state.me.name
-            incarnation = self.lives[number]
+            incarnation = self.incarnations[number]
             self.hosts[number] = Host(name, self.store, incarnation=incarnation)
         elif drawn < 0.024:
             self.hosts[number].cut_off = not self.hosts[number].cut_off
@@ -662,14 +662,14 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_no_fault_brings_two_hosts_acts_within_a_lease_time(seed):
+def test_no_fault_lets_two_hosts_act_within_a_lease_duration(seed):
     """Guards against orders of two hosts within a lease duration, under any fault.
 
     Hosts are paused, restart and lose the store while the lease changes hands, and
     writes take effect late or get no answer. Also the epoch, which engines compare,
     must never fall or be used by two hosts.
     """
-    acts = Play(seed).run(120)
+    acts = Simulation(seed).run(120)
     assert acts
     for earlier, later in itertools.pairwise(acts):
         assert later[2] >= earlier[2]
@@ -678,8 +678,8 @@
             assert later[2] > earlier[2]
 
 
-def test_the_play_of_faults_has_many_holders():
-    acts = [act for seed in range(5) for act in Play(seed).run(120)]
+def test_the_simulation_of_faults_has_many_holders():
+    acts = [act for seed in range(5) for act in Simulation(seed).run(120)]
     changes = [pair for pair in itertools.pairwise(acts) if pair[0][1] != pair[1][1]]
     assert len(changes) >= 10
 
@@ -688,13 +688,13 @@
     store = [lease.LeaseRecord("entry-9/1/entry-9:81", 7, 3), 9]
     host = Host("entry-1", store)
     run([host], 4.5, start=0)
-    (note,) = host.noted("lease_waits")
+    (note,) = host.notes_of("lease_waits")
     assert "4.8 s" in note.detail
 
 
 def test_a_lease_that_is_renewed_is_not_noted_as_waited_for(hosts):
     run(hosts, 20)
-    assert len(hosts[1].noted("lease_waits")) <= 1
+    assert len(hosts[1].notes_of("lease_waits")) <= 1
 
 
 def make_fleet(count):
@@ -707,7 +707,7 @@
     ]
 
 
-def tell_release(hosts, by):
+def send_release(hosts, by):
     """Send a holder's release, if there is one, to all hosts."""
     for host in hosts:
         if by.state.lease_release is not None:
@@ -724,12 +724,12 @@
             if host.lease.is_held(NOW + seconds(at)):
                 held.add(host.state.me.name)
         if holder is not None:
-            tell_release(hosts, holder)
+            send_release(hosts, holder)
         at += 0.1
     return held
 
 
-def test_other_hosts_stand_in_for_candidates_that_the_store_turns_away():
+def test_other_hosts_stand_in_for_candidates_that_the_store_refuses():
     """Guards against engines that get no orders while most hosts reach the store.
 
     The store refuses the holder and the next candidate. Without stand-ins nobody takes
@@ -744,7 +744,7 @@
     assert held - {first.state.me.name}
 
 
-def test_hosts_that_stand_in_look_once_where_a_candidate_has_followed():
+def test_stand_ins_read_once_where_a_candidate_has_taken_over():
     """Guards against needless reads by stand-ins once a candidate holds the lease.
 
     The holder is cut off, and the next candidate takes the lease. Stand-ins learn that
@@ -756,13 +756,13 @@
     hosts[0].cut_off = True
     run_fleet(hosts, 6, 14, holder=hosts[0])
     assert hosts[1].lease.is_held(NOW + seconds(14) - seconds(0.1))
-    looks = [_count_looks(host) for host in hosts[2:]]
+    reads_by_host = [_record_reads(host) for host in hosts[2:]]
     run_fleet(hosts, 14, 60)
-    assert max(len(seen) for seen in looks) <= 1
-    assert sum(len(seen) for seen in looks) <= 6
+    assert max(len(seen) for seen in reads_by_host) <= 1
+    assert sum(len(seen) for seen in reads_by_host) <= 6
 
 
-def _count_looks(host):
+def _record_reads(host):
     """Return a list that gets each read that a host sends to the store from now on."""
     seen, answer = [], host._answer
 
@@ -775,7 +775,7 @@
     return seen
 
 
-def test_few_hosts_stand_in_while_the_store_is_away_for_all():
+def test_few_hosts_stand_in_while_the_store_is_unavailable():
     """Guards against needless calls: the store is down for all hosts for a minute."""
     hosts = make_fleet(40)
     run_fleet(hosts, 0, 6)
