--- a/tests/decide/test_departure.py
+++ b/tests/decide/test_departure.py
@@ -1,4 +1,4 @@
-"""What a leaving host still takes, without a network or a clock."""
+"""Which requests a leaving host still accepts, without a network or a clock."""
 
 import datetime
 
@@ -14,10 +14,10 @@
 
 
 def test_takes_all_while_callers_cannot_know_and_then_what_ends_in_time():
-    """A stream was taken 3.02 s after SIGTERM and cut off by the host's end.
+    """Guards against an answer that is cut off by the end of its host.
 
-    It had 10.4 s left to its deadline, its host 4.5 s to its end, and the only
-    question asked was how long ago SIGTERM had come.
+    A stream arrives 3.02 s after SIGTERM, 10.4 s before its deadline, and its host ends
+    4.5 s later. The time since SIGTERM alone doesn't show that the host must refuse it.
     """
     leaving = departure.schedule(NOW, departure.latest_end(NOW, 8 * SECOND))
     lasts_long = NOW + 13.4 * SECOND
@@ -28,21 +28,22 @@
 
 @pytest.mark.parametrize("grace", [1, 2, 8, 20])
 def test_ends_inside_the_last_sixth_of_the_grace_time(grace):
-    """A host with a short grace time ended before the last sixth of it.
+    """Guards against answers that a host with a short grace time abandons too early.
 
-    An answer that is under way must not be given up sooner, and what is left
-    must do to close all connections before the process is killed.
+    An answer in flight must not be abandoned before the last sixth of the grace time,
+    and some of that sixth must remain to close all connections before the process is
+    killed.
     """
     ends_at = departure.latest_end(NOW, grace * SECOND)
     assert NOW + grace * SECOND * 5 / 6 < ends_at < NOW + grace * SECOND
 
 
 def test_a_host_that_was_held_up_counts_from_when_the_order_may_have_come():
-    """A busy host handles SIGTERM most of a second after it was sent.
+    """Guards against a busy host that is killed before it has sent its last answers.
 
-    It counted from then, so it took what it should have left to others, and was
-    killed before its last answers were out. It can't know when the order came,
-    only that it had not come when the host was last seen to run.
+    It handles SIGTERM most of a second after that was sent. If it counted from the
+    handling, it would accept requests for too long and end too late. It can't know when
+    the order came, only that it had not come when the process last ran.
     """
     grace = 8 * SECOND
     assert departure.asked_at(NOW - SECOND / 2, NOW, grace) == NOW - SECOND / 2
@@ -50,7 +51,11 @@
 
 @pytest.mark.parametrize("grace", [1, 2, 8, 20])
 def test_a_host_that_was_frozen_ends_inside_the_last_sixth_of_its_grace_time(grace):
-    """A host was frozen for half a minute, and SIGTERM came right after it."""
+    """Guards against a host that ends too early after it was frozen for half a minute.
+
+    SIGTERM comes right after the freeze, and the host can't know that it didn't come
+    earlier.
+    """
     frozen_since = NOW - 30 * SECOND
     asked = departure.asked_at(frozen_since, NOW, grace * SECOND)
     assert departure.latest_end(asked, grace * SECOND) >= NOW + grace * SECOND * 5 / 6
--- a/tests/decide/test_directory.py
+++ b/tests/decide/test_directory.py
@@ -1,4 +1,4 @@
-"""Which addresses callers are told, without a network."""
+"""Which addresses callers get, without a network."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 
 def make_state(*entries):
-    """Return tables with entries given as (name, data centre, state)."""
+    """Return tables that hold entries given as (name, data centre, state)."""
     state = world.World(events.Host("me", "entry", "dc-1", "me:80", "me:81"))
     for name, data_centre, entry_state in entries:
         state.put_entry(
@@ -45,11 +45,11 @@
     ],
 )
 def test_where_nobody_is_surely_there_names_the_likeliest_only(better, worse):
-    """Callers are sent to hosts that leave while others are there.
+    """Guards against callers that connect to leaving hosts while others are available.
 
-    For want of a live host in a reachable data centre all known hosts were
-    named, those that leave or have left among them. Callers came to them seconds
-    after SIGTERM, as if nothing had been said.
+    No host is live in a reachable data centre. If all known hosts were returned, those
+    that leave or have left among them, callers would still connect to these seconds
+    after SIGTERM.
     """
     state = make_state(("a", "dc-2", better), ("b", "dc-2", worse))
     assert choose(state, unreachable=("dc-2",)) == ["a:80"]
@@ -57,7 +57,7 @@
 
 @pytest.mark.parametrize("worse", [_State.SUSPECT, _State.LEAVING, _State.DEAD])
 def test_names_no_worse_host_beside_one_that_is_surely_there(worse):
-    """One data centre is left, and its one host is enough to be named alone."""
+    """Guards against worse hosts beside the only live one that is reachable."""
     state = make_state(
         ("a", "dc-1", worse), ("b", "dc-2", _State.LIVE), ("c", "dc-3", _State.LIVE)
     )
@@ -70,12 +70,12 @@
 
 
 def test_a_leaving_host_of_the_callers_data_centre_goes_before_one_not_heard_of():
-    """Callers of a lost link are sent to hosts that nobody reaches.
+    """Guards against callers that get only hosts which nobody can reach.
 
-    The last host of a data centre leaves while another data centre hasn't been
-    heard of. That one's hosts stay live in the table for good, as only their own
-    peers judge them. Callers were told of those alone, and each of their new
-    connections hung, though the leaving host takes what ends before it does.
+    The last host of a data centre leaves while another data centre is unreachable. The
+    hosts of that one stay live in the table for good, as only their own peers may call
+    them dead. Connections to them hang, whereas the leaving host still accepts requests
+    that end before it does.
     """
     state = make_state(
         ("gone", "dc-2", _State.LIVE),
--- a/tests/decide/test_lives.py
+++ b/tests/decide/test_lives.py
@@ -1,4 +1,4 @@
-"""Targets that start again under the name that they had."""
+"""Targets that restart under the same name, and records that describe no target."""
 
 import dataclasses
 
@@ -29,7 +29,7 @@
 
 @pytest.fixture
 def core():
-    """Give a gateway that knows one engine and one plain target."""
+    """Return a gateway that knows one engine and one plain service target."""
     made = gateways.make_gateway()
     made.step(NOW, [targetlist.TargetsListed((listed(), listed("desk-1")))])
     return made
@@ -49,10 +49,11 @@
 
 
 def test_an_engine_that_started_again_holds_nothing(core):
-    """An engine crashes and starts again under its name; its record tells so.
+    """Guards against long prompts that wait at a restarted engine with an empty cache.
 
-    What it had read was still believed to be there, so long prompts went to it
-    and read all of it once more, and their callers waited.
+    An engine crashes and restarts under its name, and its record has a new start time.
+    If its prefilled tokens still counted as held, long prompts would go to it and be
+    recomputed in full.
     """
     row = row_of(core)
     part = kvstores.Part("p", 100)
@@ -72,9 +73,10 @@
 
 
 def test_a_target_that_left_and_started_again_is_used(core):
-    """A target drains, ends and starts again under its name.
+    """Guards against a restarted target that gets no requests.
 
-    Leaving was never taken back, so the target got no request any more.
+    A target drains, ends and restarts under its name. Its new incarnation must not
+    count as leaving.
     """
     change(core, "desk-1", leaving=True, revision=2)
     assert row_of(core, "desk-1").leaving
@@ -84,7 +86,7 @@
 
 @pytest.mark.parametrize("revision", [1, 9])
 def test_an_old_record_of_an_earlier_life_changes_nothing(core, revision):
-    """A host learns of a new life; an old copy of the list comes after it."""
+    """Guards against an old copy of the list that replaces the running incarnation."""
     change(core, born=BORN_AGAIN, revision=5)
     row = row_of(core)
     change(core, born=BORN, revision=revision, leaving=True)
@@ -95,10 +97,10 @@
 
 
 def test_news_by_peers_of_an_earlier_life_changes_nothing(core):
-    """A peer that is behind tells of the life before.
+    """Guards against gossip about an earlier incarnation that changes the current one.
 
-    It says that the target leaves, runs other weights and has much to do; all
-    of that ended with the life.
+    A peer that has not learned of the restart sends that the target is leaving, runs
+    other weights and has much pending work; all of that ended with the incarnation.
     """
     change(core, born=BORN_AGAIN, revision=2)
     row, old = row_of(core), lives.Life("llm-3", BORN)
@@ -114,10 +116,11 @@
 
 
 def test_the_end_of_a_send_to_an_earlier_life_tells_nothing_of_the_new(core):
-    """A booking is under way when its target dies and starts again.
+    """Guards against a failure that counts for the wrong incarnation of a target.
 
-    The target's new life gets no failure for it and has no request less under
-    way, and the caller is not told that the booking hasn't run.
+    A booking is in flight when its target dies and restarts. The new incarnation gets
+    no failure for it and keeps its count of running requests, and the caller must not
+    learn that the booking hasn't run, as that isn't known.
     """
     gateways.begin(core, "/once/1")
     change(core, "desk-1", born=BORN_AGAIN, revision=2)
@@ -138,10 +141,11 @@
 
 
 def test_weights_fall_where_the_targets_own_record_says_so(core):
-    """An order from before a restart is carried out late.
+    """Guards against an engine that stays on older weights for good.
 
-    The engine counts orders anew, so an old order fits again and takes it back
-    to older weights. Known versions only rose, so it was never ordered again.
+    A restarted engine counts orders from zero, so an order from before its restart may
+    fit again, and takes it back to older weights. If known versions only rose, it would
+    never get a new order.
     """
     change(core, born=BORN_AGAIN, revision=2, version=3)
     change(core, born=BORN_AGAIN, revision=3, version=2)
@@ -155,16 +159,17 @@
 
 
 def test_a_report_of_another_life_changes_nothing(core):
-    """The report of an engine comes after its next life was listed."""
+    """Guards against a late report of an engine that has restarted since."""
     change(core, born=BORN_AGAIN, revision=2)
     core.step(NOW, [rollout.Reported("llm-3", 5, False, {"m": 7}, BORN)])
     assert row_of(core).version_by_model == {"m": 1}
 
 
 def test_a_record_without_a_birth_among_others_names_no_target(core):
-    """Another writer puts a record that looks whole, without the start.
+    """Guards against requests to a target that doesn't exist.
 
-    Every target tells its start here, so this names none; the others hold.
+    Another writer puts a record that looks complete but has no start time. All targets
+    here have start times, so it describes none, and the others stay in use.
     """
     ghost = targetlist.TargetChanged(listed("desk-2", born=None))
     core.step(NOW, [ghost, targetlist.TargetChanged(listed("desk-1", revision=2))])
@@ -177,7 +182,10 @@
 
 
 def test_a_record_that_no_longer_tells_its_birth_ends_its_target(core):
-    """Another writer overwrites the record of a target, without the start."""
+    """Guards against use of a target whose record another writer has overwritten.
+
+    The new record has no start time, so it describes no target.
+    """
     change(core, "desk-1", born=None, revision=2)
     assert not row_of(core, "desk-1").usable(NOW)
     change(core, "desk-1", revision=3)
@@ -200,10 +208,11 @@
 
 
 def test_a_target_whose_address_is_anothers_now_is_given_up(core):
-    """An engine crashes, and the next one is listed at its address.
+    """Guards against prompts that are rejected again and again at a reused address.
 
-    The dead one's record stayed for some heartbeats. Prompts went to it as their
-    home and were turned away unread by the other, call after call.
+    An engine crashes, and the next one is listed at its address. The dead engine's
+    record stays for some heartbeats. Prompts that prefer the dead engine are rejected
+    by the new one.
     """
     told = successor(core, revision=4)
     assert commands.Note("target_superseded", "llm-3", "llm-7") in told
@@ -211,7 +220,10 @@
 
 
 def test_the_record_of_a_superseded_target_does_not_bring_it_back(core):
-    """The list is read whole once more while both records stand in it."""
+    """Guards against use of a superseded target after the list is read again.
+
+    The whole list is read while it still has both records.
+    """
     successor(core, revision=4)
     change(core, revision=1)
     assert not row_of(core).usable(NOW)
@@ -221,10 +233,11 @@
 
 
 def test_a_record_at_anothers_address_that_names_nobody_takes_nobody_out(core):
-    """Another writer lists a target at the address of a good one.
+    """Guards against a good target that a wrong record at its address removes from use.
 
-    Who is there turns the first request away, as it is another. The good target
-    is used again, and the record is passed over although the list still has it.
+    Another writer lists a target at the address of a good one. The good target rejects
+    the first request, as that is meant for another. It is then used again, and the
+    wrong record is ignored although the list still has it.
     """
     ghost = dataclasses.replace(listed("desk-1", revision=8), name="desk-5")
     core.step(NOW, [targetlist.TargetChanged(ghost)])
@@ -244,10 +257,11 @@
 
 
 def test_an_old_change_by_another_writer_sets_no_target_aside(core):
-    """A record is overwritten and written anew by its target.
+    """Guards against a good target that an outdated change removes from use.
 
-    A host hears of the good one by a peer, and of the change before it by its own
-    watch after that.
+    A record is overwritten by another writer, and then written again by its target. A
+    host learns of the good record first, from a peer, and of the earlier change only
+    afterwards, from its own watch.
     """
     change(core, "desk-1", revision=6)
     core.step(NOW, [targetlist.TargetUnreadable("desk-1", 5)])
@@ -263,10 +277,11 @@
 
 
 def test_a_record_of_an_unknown_service_takes_nobody_out(core):
-    """Another writer copies a target's record under another name and service.
+    """Guards against a good target that gets no requests because of a copied record.
 
-    No request ever goes to that service, so nobody would find out that there is
-    no such target, and the good one at the address would get nothing more.
+    Another writer copies a target's record under another name and an unknown service.
+    No request ever goes to that service, so no rejection would show that there is no
+    such target.
     """
     copied = gateways.make_target("copy-1", "nowhere", revision=9, born=BORN)
     copied = dataclasses.replace(copied, address=row_of(core, "desk-1").url)
