--- a/tests/decide/test_departure.py
+++ b/tests/decide/test_departure.py
@@ -13,16 +13,16 @@
 GRACE_TIMES = strategies.floats(0.5, 120.0).map(lambda value: value * SECOND)
 
 
-def test_takes_all_while_callers_cannot_know_and_then_what_ends_in_time():
+def test_accepts_all_while_callers_cannot_know_and_then_what_ends_in_time():
     """Guards against an answer that is cut off by the end of its host.
 
     A stream arrives 3.02 s after SIGTERM, 10.4 s before its deadline, and its host ends
     4.5 s later. The time since SIGTERM alone doesn't show that the host must refuse it.
     """
     leaving = departure.schedule(NOW, departure.latest_end(NOW, 8 * SECOND))
-    lasts_long = NOW + 13.4 * SECOND
-    assert leaving.takes(lasts_long, NOW + 2.4 * SECOND)
-    assert not leaving.takes(lasts_long, NOW + 3.02 * SECOND)
+    late_deadline = NOW + 13.4 * SECOND
+    assert leaving.takes(late_deadline, NOW + 2.4 * SECOND)
+    assert not leaving.takes(late_deadline, NOW + 3.02 * SECOND)
     assert leaving.takes(NOW + 7 * SECOND, NOW + 5.5 * SECOND)
 
 
@@ -38,7 +38,7 @@
     assert NOW + grace * SECOND * 5 / 6 < ends_at < NOW + grace * SECOND
 
 
-def test_a_host_that_was_held_up_counts_from_when_the_order_may_have_come():
+def test_a_busy_host_counts_from_when_the_order_may_have_come():
     """Guards against a busy host that is killed before it has sent its last answers.
 
     It handles SIGTERM most of a second after that was sent. If it counted from the
@@ -63,10 +63,12 @@
 
 @hypothesis.settings(derandomize=True)
 @hypothesis.given(GRACE_TIMES, strategies.floats(0, 1), strategies.floats(0, 200))
-def test_what_is_taken_after_callers_know_has_its_answer_in_time(grace, part, lasts):
+def test_what_is_accepted_after_callers_know_has_its_answer_in_time(
+    grace, elapsed_share, duration
+):
     leaving = departure.schedule(NOW, departure.latest_end(NOW, grace))
-    now = NOW + grace * part
-    until = now + lasts * SECOND
+    now = NOW + grace * elapsed_share
+    until = now + duration * SECOND
     if now >= leaving.accepts_all_until and leaving.takes(until, now):
         assert until <= leaving.ends_at
     assert leaving.accepts_all_until - NOW <= 2.5 * SECOND
--- a/tests/decide/test_directory.py
+++ b/tests/decide/test_directory.py
@@ -25,7 +25,7 @@
     )
 
 
-def test_names_live_hosts_and_those_of_the_callers_data_centre_first():
+def test_returns_live_hosts_those_of_the_callers_data_centre_first():
     state = make_state(
         ("b", "dc-2", _State.LIVE),
         ("a", "dc-1", _State.LIVE),
@@ -44,7 +44,7 @@
         (_State.LEAVING, _State.LEFT),
     ],
 )
-def test_where_nobody_is_surely_there_names_the_likeliest_only(better, worse):
+def test_without_a_live_reachable_host_returns_only_the_best_rank(better, worse):
     """Guards against callers that connect to leaving hosts while others are available.
 
     No host is live in a reachable data centre. If all known hosts were returned, those
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize("worse", [_State.SUSPECT, _State.LEAVING, _State.DEAD])
-def test_names_no_worse_host_beside_one_that_is_surely_there(worse):
+def test_beside_a_live_reachable_host_returns_only_the_best_rank(worse):
     """Guards against worse hosts beside the only live one that is reachable."""
     state = make_state(
         ("a", "dc-1", worse), ("b", "dc-2", _State.LIVE), ("c", "dc-3", _State.LIVE)
@@ -64,12 +64,12 @@
     assert choose(state, unreachable=("dc-3",)) == ["b:80"]
 
 
-def test_names_somebody_rather_than_nobody():
+def test_returns_a_host_that_left_if_no_other_is_known():
     state = make_state(("a", "dc-1", _State.LEFT))
     assert choose(state) == ["a:80"]
 
 
-def test_a_leaving_host_of_the_callers_data_centre_goes_before_one_not_heard_of():
+def test_a_leaving_host_is_returned_where_the_live_one_is_unreachable():
     """Guards against callers that get only hosts which nobody can reach.
 
     The last host of a data centre leaves while another data centre is unreachable. The
--- a/tests/decide/test_lives.py
+++ b/tests/decide/test_lives.py
@@ -43,8 +43,8 @@
     return core.state.targets.get(name)
 
 
-def gossip_of(core, **told):
-    message = gossip.GossipMessage("entry-2", "dc-1", **told)
+def gossip_of(core, **content):
+    message = gossip.GossipMessage("entry-2", "dc-1", **content)
     return core.step(NOW, [gossip.GossipReceived("x", message)])
 
 
@@ -60,15 +60,19 @@
     row.note_read("1", (part,), 1000)
     row.failure_rate, row.failures, row.reported_load = 0.9, 3, 40
     row.shunned_until = NOW + 9 * SECOND
-    told = change(core, born=BORN_AGAIN, revision=2)
-    assert commands.Note("target_restarted", "llm-3", _births()) in told
-    fresh = row_of(core)
-    assert (fresh.born, fresh.read_parts, fresh.failure_rate) == (BORN_AGAIN, {}, 0.0)
-    assert fresh.usable(NOW)
-    assert fresh.reported_load == 0
+    emitted = change(core, born=BORN_AGAIN, revision=2)
+    assert commands.Note("target_restarted", "llm-3", _restart_detail()) in emitted
+    new_target = row_of(core)
+    assert (new_target.born, new_target.read_parts, new_target.failure_rate) == (
+        BORN_AGAIN,
+        {},
+        0.0,
+    )
+    assert new_target.usable(NOW)
+    assert new_target.reported_load == 0
 
 
-def _births():
+def _restart_detail():
     return f"born {BORN_AGAIN}, before {BORN}"
 
 
@@ -85,7 +89,7 @@
 
 
 @pytest.mark.parametrize("revision", [1, 9])
-def test_an_old_record_of_an_earlier_life_changes_nothing(core, revision):
+def test_an_old_record_of_an_earlier_incarnation_changes_nothing(core, revision):
     """Guards against an old copy of the list that replaces the running incarnation."""
     change(core, born=BORN_AGAIN, revision=5)
     row = row_of(core)
@@ -96,7 +100,7 @@
     assert row.missing_since is None
 
 
-def test_news_by_peers_of_an_earlier_life_changes_nothing(core):
+def test_gossip_about_an_earlier_incarnation_changes_nothing(core):
     """Guards against gossip about an earlier incarnation that changes the current one.
 
     A peer that has not learned of the restart sends that the target is leaving, runs
@@ -115,7 +119,7 @@
     assert row.peer_work_by_entry == {}
 
 
-def test_the_end_of_a_send_to_an_earlier_life_tells_nothing_of_the_new(core):
+def test_the_end_of_a_send_to_an_earlier_incarnation_changes_nothing_of_the_new(core):
     """Guards against a failure that counts for the wrong incarnation of a target.
 
     A booking is in flight when its target dies and restarts. The new incarnation gets
@@ -133,14 +137,14 @@
     assert (row.running_here, row.failure_rate, row.reported_load) == (1, 0.0, 0)
 
 
-def test_a_lookup_may_go_to_the_next_life_of_its_target(core):
+def test_a_lookup_may_go_to_the_next_incarnation_of_its_target(core):
     gateways.begin(core, "/read/1")
     change(core, "desk-1", born=BORN_AGAIN, revision=2)
     again = core.forwarding.ended("r1", sends.Ending.LOST, now=NOW)
     assert (again.target, again.born) == ("desk-1", BORN_AGAIN)
 
 
-def test_weights_fall_where_the_targets_own_record_says_so(core):
+def test_a_known_version_falls_with_the_targets_own_record(core):
     """Guards against an engine that stays on older weights for good.
 
     A restarted engine counts orders from zero, so an order from before its restart may
@@ -158,21 +162,23 @@
     assert row_of(core).version_by_model == {"m": 4}
 
 
-def test_a_report_of_another_life_changes_nothing(core):
+def test_a_report_of_another_incarnation_changes_nothing(core):
     """Guards against a late report of an engine that has restarted since."""
     change(core, born=BORN_AGAIN, revision=2)
     core.step(NOW, [rollout.Reported("llm-3", 5, False, {"m": 7}, BORN)])
     assert row_of(core).version_by_model == {"m": 1}
 
 
-def test_a_record_without_a_birth_among_others_names_no_target(core):
+def test_a_record_without_a_start_time_among_others_describes_no_target(core):
     """Guards against requests to a target that doesn't exist.
 
     Another writer puts a record that looks complete but has no start time. All targets
     here have start times, so it describes none, and the others stay in use.
     """
-    ghost = targetlist.TargetChanged(listed("desk-2", born=None))
-    core.step(NOW, [ghost, targetlist.TargetChanged(listed("desk-1", revision=2))])
+    wrong_record = targetlist.TargetChanged(listed("desk-2", born=None))
+    core.step(
+        NOW, [wrong_record, targetlist.TargetChanged(listed("desk-1", revision=2))]
+    )
     assert row_of(core, "desk-2") is None
     core.step(
         NOW, [targetlist.TargetsListed((listed("desk-1"), listed("desk-2", None)))]
@@ -181,7 +187,7 @@
     assert row_of(core, "desk-1").usable(NOW)
 
 
-def test_a_record_that_no_longer_tells_its_birth_ends_its_target(core):
+def test_a_record_that_loses_its_start_time_ends_its_target(core):
     """Guards against use of a target whose record another writer has overwritten.
 
     The new record has no start time, so it describes no target.
@@ -192,7 +198,7 @@
     assert row_of(core, "desk-1").usable(NOW)
 
 
-def test_targets_that_never_tell_their_births_are_told_apart_by_name(core):
+def test_targets_without_start_times_are_told_apart_by_name(core):
     made = gateways.make_gateway()
     made.step(
         NOW, [targetlist.TargetsListed((listed(born=None), listed("desk-1", None)))]
@@ -201,30 +207,30 @@
     assert row_of(made, "desk-1").usable(NOW)
 
 
-def successor(core, **changed):
+def list_successor(core, **changed):
     """List a target at the address of llm-3."""
-    fresh = dataclasses.replace(listed(**changed), name="llm-7")
-    return core.step(NOW, [targetlist.TargetChanged(fresh)])
+    new_target = dataclasses.replace(listed(**changed), name="llm-7")
+    return core.step(NOW, [targetlist.TargetChanged(new_target)])
 
 
-def test_a_target_whose_address_is_anothers_now_is_given_up(core):
+def test_a_target_whose_address_another_one_has_taken_is_not_used(core):
     """Guards against prompts that are rejected again and again at a reused address.
 
     An engine crashes, and the next one is listed at its address. The dead engine's
     record stays for some heartbeats. Prompts that prefer the dead engine are rejected
     by the new one.
     """
-    told = successor(core, revision=4)
-    assert commands.Note("target_superseded", "llm-3", "llm-7") in told
+    emitted = list_successor(core, revision=4)
+    assert commands.Note("target_superseded", "llm-3", "llm-7") in emitted
     assert not row_of(core).usable(NOW)
 
 
-def test_the_record_of_a_superseded_target_does_not_bring_it_back(core):
+def test_the_record_of_a_superseded_target_does_not_make_it_usable(core):
     """Guards against use of a superseded target after the list is read again.
 
     The whole list is read while it still has both records.
     """
-    successor(core, revision=4)
+    list_successor(core, revision=4)
     change(core, revision=1)
     assert not row_of(core).usable(NOW)
     assert row_of(core, "llm-7").usable(NOW)
@@ -232,25 +238,25 @@
     assert row_of(core).usable(NOW)
 
 
-def test_a_record_at_anothers_address_that_names_nobody_takes_nobody_out(core):
+def test_a_wrong_record_at_anothers_address_removes_no_target(core):
     """Guards against a good target that a wrong record at its address removes from use.
 
     Another writer lists a target at the address of a good one. The good target rejects
     the first request, as that is meant for another. It is then used again, and the
     wrong record is ignored although the list still has it.
     """
-    ghost = dataclasses.replace(listed("desk-1", revision=8), name="desk-5")
-    core.step(NOW, [targetlist.TargetChanged(ghost)])
+    wrong_record = dataclasses.replace(listed("desk-1", revision=8), name="desk-5")
+    core.step(NOW, [targetlist.TargetChanged(wrong_record)])
     sent = gateways.begin(core, "/once/1")
     assert sent.target == "desk-5"
     again = core.forwarding.ended("r1", sends.Ending.WRONG_TARGET, now=NOW)
     assert again.target == "desk-1"
-    core.step(NOW, [targetlist.TargetChanged(ghost)])
+    core.step(NOW, [targetlist.TargetChanged(wrong_record)])
     assert gateways.begin(core, "/once/1", request_id="r2").target == "desk-1"
 
 
 def test_a_target_is_used_again_once_the_record_at_its_address_is_gone(core):
-    successor(core, revision=4)
+    list_successor(core, revision=4)
     core.step(NOW, [targetlist.TargetRemoved("llm-7", BORN)])
     core.step(NOW + 5 * gateways.SECOND, [events.Tick()])
     assert row_of(core).usable(NOW)
@@ -270,13 +276,13 @@
     assert not row_of(core, "desk-1").usable(NOW)
 
 
-def test_a_restart_is_not_told_as_another_target_at_the_address(core):
-    told = change(core, born=BORN_AGAIN, revision=2)
-    kinds = [item.kind for item in told if isinstance(item, commands.Note)]
+def test_a_restart_is_not_noted_as_another_target_at_the_address(core):
+    emitted = change(core, born=BORN_AGAIN, revision=2)
+    kinds = [item.kind for item in emitted if isinstance(item, commands.Note)]
     assert kinds == ["target_restarted", "target_listed"]
 
 
-def test_a_record_of_an_unknown_service_takes_nobody_out(core):
+def test_a_record_of_an_unknown_service_removes_no_target(core):
     """Guards against a good target that gets no requests because of a copied record.
 
     Another writer copies a target's record under another name and an unknown service.
