--- a/packages/decide/sesamespindle/decide/lease.py
+++ b/packages/decide/sesamespindle/decide/lease.py
@@ -245,10 +245,10 @@
         self._write(self.epoch, now, not self._must_stay_active(now))
 
     def _must_stay_active(self, now):
-        """Return whether an act was requested lately, or the last one is too recent.
+        """Return whether the lease must not be written as idle.
 
-        Too recent for the lease to become idle is less than a lease duration ago, with
-        the margin for clocks.
+        That is so if an act was requested lately, or if the last act is less than a
+        lease duration and the margin for clocks old.
         """
         requested_for = self._duration * _RENEW_SHARE
         if self._requested_at is not None and now - self._requested_at < requested_for:
--- a/packages/decide/sesamespindle/decide/membership.py
+++ b/packages/decide/sesamespindle/decide/membership.py
@@ -57,8 +57,8 @@
     state : world.World
         The shared tables.
     seeds : tuple of str
-        Peer addresses to gossip with while no peer is known, such as when the
-        platform is unavailable at start.
+        Peer addresses to gossip with while there is no known peer, as after a start
+        while the platform is unavailable.
     contradicts : bool
         Whether this daemon raises its incarnation above the one that peers remember
         of an earlier process of its own. Must be false where the incarnation is used
@@ -87,8 +87,8 @@
     ):
         self._state = state
         self._quarantine = quarantine
-        # By peer of this data centre: the incarnation that was sent all known
-        # crashes.
+        # By name of a peer of this data centre: its incarnation that was last sent all
+        # known crashes.
         self._informed_incarnation_by_peer = {}
         self._store_relay = store_relay
         self._seeds = seeds
@@ -642,8 +642,8 @@
 
         Guards against a lost host that is given to callers again: data centres know
         different heartbeats of it, all from before its loss. A record with a higher
-        heartbeat than is known here would make it live for a while. Such a record
-        counts for nothing while the startup probes say that the peer has failed.
+        heartbeat than is known here would make it live for a while. While the startup
+        probes count the peer as failed, such a record is stored with the state dead.
         """
         if row.state is not _State.DEAD or row.incarnation != member.incarnation:
             return False
@@ -657,6 +657,9 @@
         process, and peers ignore its messages as outdated. It raises its incarnation
         above the remembered one. A record with another peer address belongs to
         another host, and doesn't raise it.
+
+        A record of an earlier incarnation that hasn't left means that this daemon has
+        replaced a process whose slices may still be in use, so the time is noted.
         """
         me = self._state.entries.get(member.name)
         if member.incarnation > me.incarnation:
@@ -676,6 +679,7 @@
 
 
 def _to_member(row):
+    # A suspicion isn't gossiped: peers receive a suspected member as live.
     announced_state = _State.LIVE if row.state is _State.SUSPECT else row.state
     return gossip.Member(
         row.name,
--- a/packages/decide/sesamespindle/decide/targetlist.py
+++ b/packages/decide/sesamespindle/decide/targetlist.py
@@ -196,8 +196,8 @@
         stays listed for some heartbeats beside that of the next target at its address.
         If the new record is wrong, the target at the address rejects a request for
         the new one; the new record is then dropped and the old target used again. A
-        new record of an unknown service gets no requests, so that its error would
-        never show, and it stops the use of no target.
+        record of an unknown service gets no requests, so such an error would never
+        show. Therefore it stops the use of no target.
         """
         if successor.pool not in self._state.service_names:
             return
