--- a/packages/decide/sesamespindle/decide/departure.py
+++ b/packages/decide/sesamespindle/decide/departure.py
@@ -35,7 +35,7 @@
 
     Attributes
     ----------
-    accepts_all_until : datetime.datetime
+    open_until : datetime.datetime
         Until then all requests are accepted, as callers can't know yet.
     ends_at : datetime.datetime
         When every request gets its final answer and the process ends.
@@ -44,7 +44,7 @@
         left: nothing is accepted or sent any more.
     """
 
-    accepts_all_until: datetime.datetime
+    open_until: datetime.datetime
     ends_at: datetime.datetime
     is_over: bool = False
 
@@ -71,7 +71,7 @@
         now : datetime.datetime
             The present.
         """
-        accepts_all = not self.is_over and now < self.accepts_all_until
+        accepts_all = not self.is_over and now < self.open_until
         return accepts_all or not self.may_cut_off(until)
 
 
--- a/packages/decide/sesamespindle/decide/membership.py
+++ b/packages/decide/sesamespindle/decide/membership.py
@@ -263,7 +263,7 @@
         )
         return sum(min(WATCHERS, count) for count in counts.values())
 
-    def request_round(self):
+    def spread_soon(self):
         """Have the next tick start a gossip round, because something has changed."""
         self._urgent = True
 
--- a/tests/decide/test_departure.py
+++ b/tests/decide/test_departure.py
@@ -69,7 +69,7 @@
     leaving = departure.schedule(NOW, departure.latest_end(NOW, grace))
     now = NOW + grace * elapsed_share
     until = now + duration * SECOND
-    if now >= leaving.accepts_all_until and leaving.takes(until, now):
+    if now >= leaving.open_until and leaving.takes(until, now):
         assert until <= leaving.ends_at
-    assert leaving.accepts_all_until - NOW <= 2.5 * SECOND
-    assert leaving.accepts_all_until - NOW <= (leaving.ends_at - NOW) / 3
+    assert leaving.open_until - NOW <= 2.5 * SECOND
+    assert leaving.open_until - NOW <= (leaving.ends_at - NOW) / 3
--- a/tests/decide/test_membership.py
+++ b/tests/decide/test_membership.py
@@ -486,7 +486,7 @@
     now = NOW
     for _ in range(2 * startupprobes.UNANSWERED_ROUNDS):
         now += TICK
-        here[0].request_round()
+        here[0].spread_soon()
         here[0].tick(now)
     assert state_of(here, "b") is events.HostState.LIVE
 
