--- a/tests/decide/test_membership.py
+++ b/tests/decide/test_membership.py
@@ -1,4 +1,4 @@
-"""Who is there and who watches the platform, as membership has it."""
+"""Membership: gossip between daemons, dead hosts, and who watches the platform."""
 
 import dataclasses
 import datetime
@@ -53,20 +53,21 @@
     assert alone.is_watcher()
 
 
-def test_another_daemon_watches_when_a_watcher_falls_silent():
-    """A watcher is paused, and with it all that its data centre would learn.
+def test_another_daemon_watches_when_a_watcher_does_not_respond():
+    """Guards against a data centre that learns no changes while its watcher is paused.
 
-    The others suspect it after a while; one of them takes its place.
+    The others suspect the paused watcher after `suspect_after`, and one of them takes
+    its place.
     """
     silent = watchers()[0]
     for name in NAMES:
         if name == silent:
             continue
-        made, state = make_membership(name)
+        daemon, state = make_membership(name)
         for row in state.entries:
             row.heard_at = NOW + 2 * state.policy.suspect_after
         state.entries.get(silent).heard_at = NOW
-        made.tick(NOW + 2 * state.policy.suspect_after)
+        daemon.tick(NOW + 2 * state.policy.suspect_after)
         assert state.entries.get(silent).state is not events.HostState.LIVE
     left = [name for name in NAMES if name != silent]
     assert len(watchers(left)) == membership.WATCHERS
@@ -77,7 +78,7 @@
 
 
 def make_daemon(name, data_centre, incarnation=1, url=None):
-    """Return a membership with its own entry, which bears an address or not."""
+    """Return a membership and its tables, which hold its own entry with `url`."""
     url = f"{name}:80" if url is None else url
     me = events.Host(name, "entry", data_centre, url, f"{name}:81", "", incarnation)
     state = world.World(me)
@@ -89,17 +90,17 @@
 
 
 def introduce(state, other):
-    """Have a daemon know another as that one knows itself."""
+    """Copy a daemon's record of itself into another daemon's table."""
     row = other.entries.get(other.me.name)
     state.put_entry(dataclasses.replace(row))
 
 
 def run_round(caller, answerer, now):
-    """Have a daemon begin a round of gossip, and another answer it."""
-    made, state = caller
+    """Have a daemon start a gossip round, and another reply to it."""
+    daemon, state = caller
     other, other_state = answerer
     state.take_commands()
-    made.spread(now)
+    daemon.spread(now)
     for command in state.take_commands():
         if not isinstance(command, commands.GossipTo):
             continue
@@ -108,16 +109,15 @@
         for reply in other_state.take_commands():
             if isinstance(reply, commands.GossipReply):
                 address = other_state.me.peer_address
-                made.answered(gossip.GossipAnswered(address, reply.message), now)
+                daemon.answered(gossip.GossipAnswered(address, reply.message), now)
 
 
 def test_an_address_that_becomes_known_reaches_other_data_centres():
-    """Callers are sent to hosts that leave although others are live.
+    """Guards against callers that are sent to leaving hosts although others are live.
 
-    A host tells peers of itself without an address until it can serve. Other
-    data centres had heard of it by then, and its address changed nothing that
-    they compare, so they kept a live host that they could name to nobody. Once
-    all hosts of their own data centre left, they named those.
+    A host gossips its record without an address until it can serve. If the digest of
+    its data centre doesn't cover the address, other data centres never receive it and
+    can't give the host to callers.
     """
     here, there = make_daemon("a", "dc-1"), make_daemon("b", "dc-2", url="")
     introduce(here[1], there[1])
@@ -132,11 +132,11 @@
 
 
 def test_a_data_centre_stays_reachable_when_its_hosts_start_anew():
-    """Callers are told of one host while five others are there.
+    """Guards against a data centre that seems unreachable after planned restarts.
 
-    A data centre counts as reachable while its pulse rises. The pulse was the
-    sum of its members' heartbeats, which begin at zero when a host starts, so
-    after planned restarts it lay below what others knew for many seconds.
+    A data centre counts as reachable while its pulse rises. A pulse computed from
+    heartbeats, which start at zero in a restarted host, stays below the known value
+    for many seconds, and callers get none of the data centre's hosts.
     """
     here, there = make_daemon("a", "dc-1"), make_daemon("b", "dc-2")
     introduce(here[1], there[1])
@@ -153,7 +153,7 @@
         assert here[0].is_reachable("dc-2", now)
 
 
-def test_a_data_centre_that_falls_silent_is_not_reachable():
+def test_a_data_centre_whose_pulse_stops_is_not_reachable():
     here, there = make_daemon("a", "dc-1"), make_daemon("b", "dc-2")
     third = make_daemon("c", "dc-3")
     for one in (here, there, third):
@@ -173,12 +173,14 @@
 
 
 def leave_and_start_again(data_centre, before, after):
-    """Return a daemon, and one that it knows to have left and that starts again.
+    """Return a daemon, and another that it knows as left and that has restarted.
 
     Parameters
     ----------
+    data_centre : str
+        The data centre of the daemon that restarts.
     before, after : int
-        The incarnations of the one that left and of its next life.
+        The incarnations of that daemon before and after its restart.
     """
     here = make_daemon("a", "dc-1")
     there = make_daemon("b", data_centre, incarnation=before)
@@ -193,31 +195,31 @@
     return here, again
 
 
-def test_a_host_whose_clock_was_set_back_is_known_again_after_its_restart():
-    """A host that is there is named to nobody for ten minutes.
+def test_a_host_whose_clock_was_set_back_is_live_again_after_its_restart():
+    """Guards against a live host that callers don't get for ten minutes.
 
-    It started while its clock was ahead, and again after the clock had been set
-    back, so its second life bears a lower number than its first. Peers took what
-    it said for old news of a host that had left, and it didn't contradict them.
+    The host's clock was set back between two starts, so its new incarnation is lower
+    than that of the process that left. Peers ignore its records as outdated unless it
+    raises its incarnation above the one that they remember.
     """
     here, again = leave_and_start_again("dc-1", before=5000, after=4000)
     now = NOW + ROUND
     for _ in range(10):
         now += ROUND
         run_round(again, here, now)
-        # What the peer asked for follows as a message of its own.
+        # The records that the peer asked for follow in a separate message.
         for command in again[1].take_commands():
             if isinstance(command, commands.GossipTo):
                 here[0].receive(gossip.GossipReceived("2", command.message), now)
     assert here[1].entries.get("b").state is events.HostState.LIVE
 
 
-def test_a_data_centre_stays_reachable_when_its_one_host_of_newer_code_goes():
-    """Callers are told of none of a data centre's hosts during a rollout.
+def test_a_data_centre_stays_reachable_when_its_one_host_of_newer_code_leaves():
+    """Guards against a data centre that seems unreachable for good during a rollout.
 
-    Older code tells the sum of its members' heartbeats as the pulse. One host of
-    newer code told the time of its start in milliseconds, which older hosts never
-    come up to: when it went, the whole data centre counted as silent for good.
+    Hosts of older code send the sum of heartbeats as the pulse. If a host of newer code
+    sends its start time in milliseconds, the older hosts never reach that value once it
+    has left.
     """
     here, newer = make_daemon("a", "dc-1"), make_daemon("b", "dc-2", NEW_INCARNATION)
     introduce(here[1], newer[1])
@@ -226,18 +228,18 @@
     now = NOW
     for heartbeats in range(100, 160):
         now += ROUND
-        told = gossip.DataCentreDigest("dc-2", 1, heartbeats)
-        older = gossip.GossipMessage("c", "dc-2", data_centres=(told,))
+        digest = gossip.DataCentreDigest("dc-2", 1, heartbeats)
+        older = gossip.GossipMessage("c", "dc-2", data_centres=(digest,))
         here[0].receive(gossip.GossipReceived("1", older), now)
     assert here[0].is_reachable("dc-2", now)
 
 
 def test_hosts_that_come_back_after_all_of_their_data_centre_left_are_found():
-    """A data centre is restarted and callers elsewhere are never told of it again.
+    """Guards against a restarted data centre that stays unknown elsewhere.
 
-    All of its hosts had said that they left, and other data centres speak to no
-    host that has left. Those that came back spoke to them, but a round tells its
-    answerer nothing of the caller's own data centre, so they stayed unknown.
+    All its hosts announced that they left, and other data centres would not contact
+    hosts that have left. The restarted hosts contact the others, but a gossip request
+    carries no records of the sender's own data centre, so they stay unknown.
     """
     here, again = leave_and_start_again("dc-2", before=1, after=2)
     now = NOW + ROUND
@@ -249,100 +251,99 @@
 
 
 def with_long_prompt(name="entry-0", elsewhere=()):
-    """Return the membership of a daemon that has just sent a long prompt."""
-    made, state = make_membership(name, NAMES[:3], elsewhere)
-    made.tick(NOW)
+    """Return the membership and tables of a daemon that has just sent a long prompt."""
+    daemon, state = make_membership(name, NAMES[:3], elsewhere)
+    daemon.tick(NOW)
     state.take_commands()
     row = world.TargetRow("llm-1", "llm", None, "dc-1", False, "llm-1:80")
     row.sent_by_request["r"] = world.SentWork(NOW, 15_000)
     state.targets.add(row)
     state.tells_pending = True
-    return made, state
+    return daemon, state
 
 
-def told_by(made, state, now):
-    made.tick(now)
+def gossip_of(daemon, state, now):
+    daemon.tick(now)
     return [
         item for item in state.take_commands() if isinstance(item, commands.GossipTo)
     ]
 
 
-def test_a_long_prompt_is_told_inside_the_data_centre_before_the_next_round():
-    """Two hosts get a long prompt within a tenth of a second of each other.
+def test_a_long_prompt_is_announced_inside_the_data_centre_before_the_next_round():
+    """Guards against two long prompts that queue at one engine while others idle.
 
-    The second one did not know of the first until the next round, sent its own to
-    the same engine, and the caller waited while other engines idled.
+    Two hosts receive a long prompt each within a tenth of a second. If the second host
+    learns of the first prompt only in the next gossip round, it picks the same engine.
     """
-    made, state = with_long_prompt(elsewhere=["entry-9"])
-    told = told_by(made, state, NOW + ROUND / 4)
-    assert {item.peer_address for item in told} == {"entry-1:81", "entry-2:81"}
-    message = told[0].message
+    daemon, state = with_long_prompt(elsewhere=["entry-9"])
+    sent_messages = gossip_of(daemon, state, NOW + ROUND / 4)
+    assert {item.peer_address for item in sent_messages} == {"entry-1:81", "entry-2:81"}
+    message = sent_messages[0].message
     assert message.brief
     (pending,) = message.pending
     assert (pending.life.name, pending.tokens) == ("llm-1", 15_000)
-    assert told_by(made, state, NOW + ROUND / 2) == []
+    assert gossip_of(daemon, state, NOW + ROUND / 2) == []
 
 
-def test_a_brief_message_is_answered_with_what_waits_alone():
-    made, state = make_membership("entry-1", NAMES[:3])
+def test_a_brief_message_is_answered_with_pending_work_only():
+    daemon, state = make_membership("entry-1", NAMES[:3])
     row = world.TargetRow("llm-1", "llm", None, "dc-1", False, "llm-1:80")
     state.targets.add(row)
     sender, _ = with_long_prompt()
-    message = sender._brief_message()
-    made.receive(gossip.GossipReceived("x", message), NOW)
+    message = sender._pending_work_message()
+    daemon.receive(gossip.GossipReceived("x", message), NOW)
     (reply,) = state.take_commands()
     assert reply.message == gossip.GossipMessage("entry-1", "dc-1", brief=True)
     assert row.peer_work_by_entry["entry-0"].tokens == 15_000
 
 
-def test_a_lost_host_is_dead_soon_also_to_a_mate_that_started_after_its_loss():
-    """A host is lost; the only other one of its data centre is killed just then.
+def test_a_lost_host_is_dead_soon_also_to_a_peer_that_started_after_its_loss():
+    """Guards against a lost host that callers get for more than 6 s after its loss.
 
-    It starts again and hears of the lost one from another data centre. Nobody
-    else may judge it, and it counts the silence from when it heard of it: callers
-    were told of the lost host for more than 6 s after its last word.
+    The only other host of its data centre, the only one that may call it dead, restarts
+    just then and learns of it from another data centre. If the silence counts from that
+    moment, the lost host stays live too long.
     """
-    last_word = NOW
-    started = last_word + datetime.timedelta(seconds=1.7)
-    made, state = make_membership("entry-0", ["entry-0"], ["entry-9"])
+    lost_at = NOW
+    started = lost_at + datetime.timedelta(seconds=1.7)
+    daemon, state = make_membership("entry-0", ["entry-0"], ["entry-9"])
     lost = gossip.Member(
         "entry-1", "dc-1", "u", "p", "", 1, 9, events.HostState.LIVE, 0
     )
     message = gossip.GossipMessage("entry-9", "dc-2", members=(lost,))
-    made.answered(gossip.GossipAnswered("entry-9:81", message), started)
+    daemon.answered(gossip.GossipAnswered("entry-9:81", message), started)
     now = started
-    while now < last_word + datetime.timedelta(seconds=5):
+    while now < lost_at + datetime.timedelta(seconds=5):
         now += ROUND / 4
-        made.tick(now)
+        daemon.tick(now)
     assert state.entries.get("entry-1").state is events.HostState.DEAD
 
 
-def test_a_listed_host_that_is_lost_is_dead_soon_to_a_mate_that_started_after():
-    """A host is lost, and its record stays in the platform's list.
+def test_a_listed_host_that_is_lost_is_dead_soon_to_a_peer_that_started_after():
+    """Guards against a lost host that callers get because the platform still lists it.
 
-    The only other one of its data centre starts and reads the list. It counts the
-    silence from when it read of it: callers were told of a host that may have been
-    lost long before.
+    The only other host of its data centre starts and reads the list. If the silence
+    counts from that read, a host that was lost long before stays live too long.
     """
-    made, state = make_membership("entry-0", ["entry-0"])
+    daemon, state = make_membership("entry-0", ["entry-0"])
     lost = events.Host("entry-1", "entry", "dc-1", "u", "p", "", 1)
     catalogue.Catalogue(state).list_entries([lost], NOW)
     now = NOW
     while now < NOW + state.policy.suspect_after:
         now += ROUND / 4
-        made.tick(now)
+        daemon.tick(now)
     assert state.entries.get("entry-1").state is events.HostState.DEAD
 
 
 TICK = ROUND / 4
-# Of `make_daemon`, whose world has the default policy.
+# The gossip interval of the daemons of `make_daemon`, which have the default policy.
 INTERVAL = world.Policy().suspect_after / membership.ROUNDS_BEFORE_SUSPICION
 ENOUGH_ROUNDS = startupprobes.UNANSWERED_ROUNDS * INTERVAL + 2 * TICK
 
 
-def tell_of(daemon, name, now, heartbeat=9, incarnation=1, data_centre="dc-2"):
-    """Have a daemon hear of one of its data centre from a peer of another."""
-    told = gossip.Member(
+def send_record(daemon, name, now, heartbeat=9, incarnation=1, data_centre="dc-2"):
+    """Send a daemon a record of a host in "dc-1" from a peer of another data centre."""
+    record = gossip.Member(
         name,
         "dc-1",
         f"{name}:80",
@@ -353,15 +354,15 @@
         events.HostState.LIVE,
         0,
     )
-    message = gossip.GossipMessage("elsewhere", data_centre, members=(told,))
+    message = gossip.GossipMessage("elsewhere", data_centre, members=(record,))
     daemon[0].answered(gossip.GossipAnswered("elsewhere:81", message), now)
 
 
 def answer(other, message, now):
-    """Return a daemon's reply; what it had commanded itself waits on."""
-    made, state = other
+    """Return a daemon's reply, and keep the other commands that it had emitted."""
+    daemon, state = other
     kept = state.take_commands()
-    made.receive(gossip.GossipReceived("1", message), now)
+    daemon.receive(gossip.GossipReceived("1", message), now)
     (reply,) = [
         item for item in state.take_commands() if isinstance(item, commands.GossipReply)
     ]
@@ -371,9 +372,9 @@
 
 
 def exchange(daemons, cut, now):
-    """Carry out what all daemons commanded, but for what goes over a cut link."""
+    """Deliver the gossip of all daemons, except over links that are cut."""
     daemon_by_address = {row[1].me.peer_address: row for row in daemons}
-    for made, state in daemons:
+    for daemon, state in daemons:
         for command in state.take_commands():
             if not isinstance(command, commands.GossipTo):
                 continue
@@ -382,11 +383,11 @@
             if other is None or {state.me.name, other[1].me.name} in cut:
                 continue
             message = answer(other, command.message, now)
-            made.answered(gossip.GossipAnswered(address, message), now)
+            daemon.answered(gossip.GossipAnswered(address, message), now)
 
 
 def play(daemons, now, duration, cut=()):
-    """Let daemons tick and gossip; return the time and who was ever called dead.
+    """Let daemons tick and gossip; return the time and all names ever called dead.
 
     Parameters
     ----------
@@ -397,8 +398,8 @@
     dead_names = set()
     while now < until:
         now += TICK
-        for made, _ in daemons:
-            made.tick(now)
+        for daemon, _ in daemons:
+            daemon.tick(now)
         exchange(daemons, cut, now)
         for _, state in daemons:
             dead_names |= {
@@ -412,58 +413,60 @@
 
 
 def test_live_hosts_that_start_together_do_not_call_each_other_dead():
-    """All hosts of a data centre lose power and start again together.
+    """Guards against live hosts that call each other dead after a common restart.
 
-    Other data centres and the platform's list still have their lives before, so
-    each hears of its mates by old records. All of them are there.
+    All hosts of a data centre lose power and restart together. Other data centres and
+    the platform's list still have their earlier incarnations, so each host learns of
+    its peers by outdated records.
     """
     names = ["a", "b", "c", "d", "e", "f"]
     daemons = [make_daemon(name, "dc-1", incarnation=2) for name in names]
     for daemon in daemons:
         for name in names:
             if name != daemon[1].me.name:
-                tell_of(daemon, name, NOW, heartbeat=500)
+                send_record(daemon, name, NOW, heartbeat=500)
     _, dead_names = play(daemons, NOW, 10 * INTERVAL)
     assert dead_names == set()
     for daemon in daemons:
         assert {row.incarnation for row in daemon[1].entries} == {2}
 
 
-def test_a_mate_that_is_slow_for_two_rounds_is_not_called_dead():
+def test_a_peer_that_is_slow_for_two_rounds_is_not_called_dead():
     here, slow = make_daemon("a", "dc-1"), make_daemon("b", "dc-1")
     slow[1].entries.get("b").heartbeat = 9
-    tell_of(here, "b", NOW)
+    send_record(here, "b", NOW)
     now, dead_names = play([here], NOW, 2 * INTERVAL)
     assert dead_names == set()
     _, dead_names = play([here, slow], now, 10 * INTERVAL)
     assert dead_names == set()
 
 
-def test_a_mate_that_was_frozen_is_back_as_soon_as_it_is_heard_of():
-    """A host starts while its live mate is frozen, and calls it dead.
+def test_a_peer_that_was_frozen_is_live_with_its_first_message():
+    """Guards against a live host that stays dead in a peer's table after a pause.
 
-    The mate wakes up and serves. It is named again from its first word, as its
-    heartbeat has risen above that of the record with its death.
+    A host starts while its peer is frozen, and calls it dead. Once the peer wakes up,
+    its first message makes it live again, as its heartbeat is above that of the record
+    that calls it dead.
     """
     here, frozen = make_daemon("a", "dc-1"), make_daemon("b", "dc-1")
     frozen[1].entries.get("b").heartbeat = 9
     introduce(frozen[1], here[1])
-    tell_of(here, "b", NOW)
+    send_record(here, "b", NOW)
     now, _ = play([here], NOW, ENOUGH_ROUNDS)
     assert state_of(here, "b") is events.HostState.DEAD
     play([here, frozen], now, INTERVAL + TICK)
     assert state_of(here, "b") is events.HostState.LIVE
 
 
-def test_a_host_that_wakes_from_a_pause_hears_its_mates_before_it_judges_them():
-    """A host starts, asks its mate, and stands still when the answers come.
+def test_a_host_that_wakes_from_a_pause_reads_replies_before_it_judges_peers():
+    """Guards against a live peer that is called dead although its replies have arrived.
 
-    Its rounds were all begun and are long over when it wakes up. It judges at
-    its first tick, before it has read anything, and callers were told of one
-    host fewer.
+    A host starts, contacts its peer and is paused while the replies come. When it wakes
+    up, all its rounds are over, and it judges the peer at its first tick, before it has
+    read the replies.
     """
     here = make_daemon("a", "dc-1")
-    tell_of(here, "b", NOW)
+    send_record(here, "b", NOW)
     now, _ = play([here], NOW, (startupprobes.UNANSWERED_ROUNDS - 1) * INTERVAL + TICK)
     now += 2 * INTERVAL
     here[0].tick(now)
@@ -472,13 +475,14 @@
     assert dead_names == {"b"}
 
 
-def test_rounds_that_follow_at_once_count_as_one():
-    """A host that starts spreads news at every tick, and each is a round.
+def test_rounds_within_an_interval_count_as_one():
+    """Guards against a live peer that fails because rounds follow too fast.
 
-    Its mate had three of them to answer within a third of a second.
+    A host that starts has updates to send, so it starts a round at every tick. If each
+    counted, its peer would have to reply to three within a third of a second.
     """
     here = make_daemon("a", "dc-1")
-    tell_of(here, "b", NOW)
+    send_record(here, "b", NOW)
     now = NOW
     for _ in range(2 * startupprobes.UNANSWERED_ROUNDS):
         now += TICK
@@ -487,27 +491,29 @@
     assert state_of(here, "b") is events.HostState.LIVE
 
 
-def test_a_mate_that_is_not_heard_is_asked_itself_in_each_round():
-    """Twenty hosts are there, and a round goes to two of them by chance.
+def test_a_peer_that_was_never_heard_from_is_contacted_in_each_round():
+    """Guards against live peers that are called dead without ever being contacted.
 
-    A host that starts must ask all that it hasn't heard, or live ones would be
-    given up unasked. Those that have spoken are asked by chance again.
+    A round goes to two of twenty hosts, chosen at random. A host that starts must also
+    contact all peers that it hasn't heard from; the others are chosen at random again.
     """
     here = make_daemon("a", "dc-1")
     for name in NAMES:
-        tell_of(here, name, NOW)
-    told = told_by(*here, NOW + TICK)
-    assert {item.peer_address for item in told} >= {f"{name}:81" for name in NAMES}
+        send_record(here, name, NOW)
+    sent_messages = gossip_of(*here, NOW + TICK)
+    assert {item.peer_address for item in sent_messages} >= {
+        f"{name}:81" for name in NAMES
+    }
     for name in NAMES:
         message = gossip.GossipMessage(name, "dc-1")
         here[0].answered(gossip.GossipAnswered(f"{name}:81", message), NOW + TICK)
-    told = told_by(*here, NOW + TICK + INTERVAL)
-    assert len(told) == membership.PEERS_INSIDE
+    sent_messages = gossip_of(*here, NOW + TICK + INTERVAL)
+    assert len(sent_messages) == membership.PEERS_INSIDE
 
 
-def test_a_mate_that_has_spoken_keeps_the_usual_patience():
+def test_a_peer_that_was_heard_from_keeps_the_usual_timeout():
     here, there = make_daemon("a", "dc-1"), make_daemon("b", "dc-1")
-    tell_of(here, "b", NOW)
+    send_record(here, "b", NOW)
     now, _ = play([here, there], NOW, 2 * INTERVAL)
     now, dead_names = play([here], now, here[1].policy.suspect_after)
     assert dead_names == set()
@@ -515,50 +521,52 @@
     assert dead_names == {"b"}
 
 
-def test_a_mate_whom_only_others_of_its_data_centre_reach_is_not_called_dead():
-    """The link between a host that has just started and its mate is cut.
+def test_a_peer_that_only_others_of_its_data_centre_reach_is_not_called_dead():
+    """Guards against a live peer that is called dead because of one broken link.
 
-    A third host of the data centre reaches both and tells the mate's heartbeats.
+    The link between a host that has just started and its peer is cut. A third host of
+    the data centre reaches both and gossips the peer's heartbeats.
     """
-    here, mate, third = (make_daemon(name, "dc-1") for name in "abc")
-    mate[1].entries.get("b").heartbeat = 9
-    introduce(third[1], mate[1])
-    introduce(mate[1], third[1])
+    here, peer, third = (make_daemon(name, "dc-1") for name in "abc")
+    peer[1].entries.get("b").heartbeat = 9
+    introduce(third[1], peer[1])
+    introduce(peer[1], third[1])
     introduce(here[1], third[1])
-    tell_of(here, "b", NOW)
-    _, dead_names = play([here, mate, third], NOW, 10 * INTERVAL, cut=[{"a", "b"}])
+    send_record(here, "b", NOW)
+    _, dead_names = play([here, peer, third], NOW, 10 * INTERVAL, cut=[{"a", "b"}])
     assert dead_names == set()
 
 
-def test_a_lost_host_is_not_brought_back_by_an_old_record_from_elsewhere():
-    """A lost host is given up, and callers are told of it again.
+def test_a_dead_host_is_not_made_live_by_an_old_record_from_elsewhere():
+    """Guards against a dead host that callers get again.
 
-    Data centres know different heartbeats of it. One that hadn't been asked yet
-    knew a higher one, and its record went before that with the death.
+    Data centres know different heartbeats of a lost host. A record with a higher
+    heartbeat than that of the record which calls it dead would make it live again.
     """
     here = make_daemon("a", "dc-1")
-    tell_of(here, "b", NOW)
+    send_record(here, "b", NOW)
     now, _ = play([here], NOW, ENOUGH_ROUNDS)
     assert state_of(here, "b") is events.HostState.DEAD
-    tell_of(here, "b", now, heartbeat=12, data_centre="dc-3")
+    send_record(here, "b", now, heartbeat=12, data_centre="dc-3")
     row = here[1].entries.get("b")
     assert (row.state, row.heartbeat) == (events.HostState.DEAD, 12)
-    tell_of(here, "b", now, heartbeat=1, incarnation=2)
+    send_record(here, "b", now, heartbeat=1, incarnation=2)
     assert state_of(here, "b") is events.HostState.LIVE
     _, dead_names = play([here], now, INTERVAL)
     assert dead_names == set()
 
 
-def test_a_mistaken_death_does_not_go_before_a_higher_heartbeat():
-    """A host that starts behind a cut link calls a live mate dead.
+def test_a_wrong_record_of_a_death_loses_to_a_higher_heartbeat():
+    """Guards against a live host that spreads as dead because of one broken link.
 
-    A third one that hears the mate keeps it, and corrects the one that is wrong.
+    A host that starts behind a cut link calls a live peer dead. A third host, which
+    knows a higher heartbeat of the peer, keeps it live and corrects the first host.
     """
     here, third = make_daemon("a", "dc-1"), make_daemon("c", "dc-1")
-    mate = make_daemon("b", "dc-1")
-    mate[1].entries.get("b").heartbeat = 20
-    introduce(third[1], mate[1])
-    tell_of(here, "b", NOW)
+    peer = make_daemon("b", "dc-1")
+    peer[1].entries.get("b").heartbeat = 20
+    introduce(third[1], peer[1])
+    send_record(here, "b", NOW)
     now, _ = play([here], NOW, ENOUGH_ROUNDS)
     assert state_of(here, "b") is events.HostState.DEAD
     introduce(here[1], third[1])
@@ -568,56 +576,59 @@
     assert state_of(here, "b") is events.HostState.LIVE
 
 
-def test_where_a_death_frees_slices_a_mate_is_not_given_up_early():
-    """Two owners' slices of an account add up to more than its limit.
+def test_where_a_death_frees_slices_a_peer_is_not_called_dead_early():
+    """Guards against slices of an account that add up to more than its limit.
 
-    A new owner counts the slices of all but dead entries. One that is cut off for
-    some seconds still uses its own, for as long as a grant lasts.
+    A new owner counts the slices of all entries that aren't dead. An entry that is cut
+    off for some seconds still uses its slice until the grant expires, so it must not be
+    called dead before that.
     """
     me = events.Host("a", "entry", "dc-1", "a:80", "a:81", "", 1)
-    made = core.Core(me)
-    here = (made.membership, made.state)
-    tell_of(here, "b", NOW)
-    _, dead_names = play([here], NOW, made.state.policy.grant_lifetime)
+    daemon = core.Core(me)
+    here = (daemon.membership, daemon.state)
+    send_record(here, "b", NOW)
+    _, dead_names = play([here], NOW, daemon.state.policy.grant_lifetime)
     assert dead_names == set()
 
 
-def test_the_version_of_a_target_is_told_while_it_is_news():
-    """A daemon sees an engine answer on new weights, and tells its peers.
+def test_a_new_version_of_a_target_is_sent_in_a_few_rounds():
+    """Guards against versions that cost an idle daemon half its work, or get lost.
 
-    Told in each message for ever, the versions of 40 engines were half of an idle
-    daemon's work; told once, the news would end at a peer that misses the message.
+    A daemon sees an engine answer on new weights and announces the version. The
+    versions of 40 engines in every message were half of an idle daemon's work; sent
+    only once, the version would not reach a peer that misses the message.
     """
-    made, state = make_membership("entry-0")
+    daemon, state = make_membership("entry-0")
     row = world.TargetRow("llm-1", "llm", None, "dc-1", False)
     state.targets.add(row)
     row.learn_version("m", 2)
-    told = []
+    announced = []
     for number in range(world.VERSION_ROUNDS + 2):
         state.take_commands()
-        made.spread(NOW + number * ROUND)
+        daemon.spread(NOW + number * ROUND)
         sent = [
             item
             for item in state.take_commands()
             if isinstance(item, commands.GossipTo)
         ]
-        told.append(bool(sent[0].message.target_versions))
-    assert told == [True] * world.VERSION_ROUNDS + [False, False]
+        announced.append(bool(sent[0].message.target_versions))
+    assert announced == [True] * world.VERSION_ROUNDS + [False, False]
 
 
-def test_daemons_of_a_large_data_centre_take_turns_outside():
-    """Forty daemons begin a round each 0.4 s, each with another data centre too.
+def test_few_daemons_of_a_large_data_centre_gossip_outside():
+    """Guards against needless traffic between data centres.
 
-    News would be there as soon with a few of them; the rest is bytes between data
-    centres. A data centre of few daemons needs each of theirs.
+    Forty daemons start a round every 0.4 s. If each also gossiped with another data
+    centre, updates would arrive no sooner than with a few of them. In a data centre of
+    few daemons each one must.
     """
     for count, low, high in ((4, 200, 200), (40, 20, 60)):
         names = [f"entry-{number}" for number in range(count)]
-        made, state = make_membership("entry-0", names, ["far-1"])
+        daemon, state = make_membership("entry-0", names, ["far-1"])
         begun = 0
         for number in range(200):
             state.take_commands()
-            made.spread(NOW + number * ROUND)
+            daemon.spread(NOW + number * ROUND)
             begun += sum(
                 item.peer_address == "far-1:81" for item in state.take_commands()
             )
