--- a/packages/daemon/sesamespindle/daemon/peering.py
+++ b/packages/daemon/sesamespindle/daemon/peering.py
@@ -1,4 +1,7 @@
-"""Talking to the other daemons: gossip by datagrams, all else by gRPC."""
+"""Communication with the other daemons: gossip over UDP, everything else over gRPC.
+
+Gossip messages that are too long for a datagram go over gRPC as well.
+"""
 
 import asyncio
 import datetime
@@ -22,16 +25,19 @@
 _log = logs.part("peers")
 _RPC_SECONDS = 1.0
 _FETCH_SECONDS = 5.0
-# An answer to a round of gossip is used for this long, as long as a call may take.
+# An answer that arrives later than this after its gossip round started is dropped. The
+# value equals the timeout of a gRPC call.
 _ROUND_TIMEOUT = datetime.timedelta(seconds=_RPC_SECONDS)
 _KEY_METADATA = "peer-key"
 _OPTIONS = (
     ("grpc.enable_http_proxy", 0),
-    # A peer address is of one process: whoever listens there held what the process
-    # before it held. The library would share the port.
+    # Only one process may listen at a peer address. When the lease holder restarts, it
+    # relies on this to know that the process that listened here before is gone, and
+    # takes its lease again at once. By default the library would let several processes
+    # share the port.
     ("grpc.so_reuseport", 0),
-    # A peer that was away is tried again within a second; the library's own
-    # pause grows to minutes.
+    # Reconnect to a peer within a second after it was unreachable. The library's
+    # default backoff grows to minutes.
     ("grpc.initial_reconnect_backoff_ms", 100),
     ("grpc.min_reconnect_backoff_ms", 300),
     ("grpc.max_reconnect_backoff_ms", 1000),
@@ -39,22 +45,47 @@
 
 
 def bind(host, port):
-    """Return a server, and the port that it is bound to; it answers nobody yet."""
+    """Bind a gRPC server to a port; it serves requests only once it is started.
+
+    Parameters
+    ----------
+    host : str or ipaddress.IPv4Address
+        The address to listen at.
+    port : int
+        The port; 0 for any free one.
+
+    Returns
+    -------
+    server : grpc.aio.Server
+        The bound server.
+    port : int
+        The port that it is bound to.
+
+    Raises
+    ------
+    RuntimeError
+        If the port can't be bound, for example because another process uses it.
+    """
     server = grpc.aio.server(options=_OPTIONS)
     return server, server.add_insecure_port(f"{host}:{port}")
 
 
 class Peering(peers_pb2_grpc.PeersServicer):
-    """Serves peers, and carries out commands that go to peers.
+    """Serves requests of peers, and carries out commands that go to peers.
+
+    Used as a context manager, it cancels its calls and closes its ports at the end.
 
     Parameters
     ----------
+    driver : sesamespindle.daemon.driver.Driver
+        Receives the events; its commands for peers are carried out here.
     declarations : sesamespindle.daemon.watchers.DeclarationsWatcher
-        Where revisions from peers go, and come from.
+        Provides the declarations for peers, and adopts those that peers send. Any
+        object with the same `summary`, `pack` and `unpack` will do.
     server : grpc.aio.Server
-        From `bind`; owned from now on.
+        The server from `bind`; this object stops it.
     key : str
-        The secret that all daemons share; a peer without it is refused.
+        The secret that all daemons share; requests without it are refused.
     """
 
     def __init__(self, driver, declarations, server, key):
@@ -68,9 +99,9 @@
         self._channel_by_address = {}
         self._take_by_exchange = {}
         self._datagrams = datagrams.Datagrams(key, self._receive_datagram)
-        # When each round of gossip was begun that has no answer yet, oldest first.
+        # Start times of the gossip rounds that have no answer yet, oldest first.
         self._begun_by_round = {}
-        # The message of the latest round, and its protobuf form.
+        # The message of the latest gossip round, and its protobuf form.
         self._round_message = self._round_on_wire = None
         self._rounds = itertools.count(1)
         self._exchange_ids = itertools.count()
@@ -96,12 +127,26 @@
             driver.on(kind, self._take_reply)
 
     def serve_calls(self, calls, timeout):
-        """Make calls that peers pass on with this runner."""
+        """Set what runs the calls that peers forward.
+
+        Parameters
+        ----------
+        calls : sesamespindle.daemon.call_runner.CallRunner
+            Runs the calls.
+        timeout : datetime.timedelta
+            The timeout of a call.
+        """
         self._calls = calls
         self._call_timeout = timeout
 
     async def start(self, host, port):
-        """Begin to answer peers at the port that was bound."""
+        """Start to serve peers: gRPC at the bound server, datagrams at this address.
+
+        Raises
+        ------
+        OSError
+            If the UDP port can't be bound.
+        """
         await self._datagrams.open(host, port)
         peers_pb2_grpc.add_PeersServicer_to_server(self, self._server)
         await self._server.start()
@@ -118,10 +163,10 @@
         for channel in self._channel_by_address.values():
             await channel.close()
 
-    # What peers ask of this daemon.
+    # Requests of peers to this daemon.
 
     async def Gossip(self, request, context):
-        """Answer a peer's half of a round that is too long for a datagram."""
+        """Answer a gossip message that is too long for a datagram."""
         await self._check(request, context)
         message = peermessages.gossip_from_wire(request, self._now())
         reply = await self._exchange(
@@ -130,7 +175,10 @@
         return self._gossip_to_wire(reply.message)
 
     async def AskSlices(self, request, context):
-        """Grant slices of the accounts that this daemon owns."""
+        """Grant slices of the limits of accounts that this daemon owns.
+
+        A slice is a lease on a share of an account's limit.
+        """
         await self._check(request, context)
         asks = peermessages.asks_from_wire(request.asks)
         reply = await self._exchange(
@@ -147,7 +195,7 @@
         )
 
     async def AskHoldings(self, request, context):
-        """Tell a new owner what this daemon holds."""
+        """Return the slices that this daemon holds, for a new owner of the accounts."""
         await self._check(request, context)
         accounts = tuple(request.accounts)
         reply = await self._exchange(
@@ -164,7 +212,7 @@
         )
 
     async def ForwardCall(self, request, context):
-        """Make a call under a ticket that this daemon minted."""
+        """Run a call whose ticket this daemon minted."""
         await self._check(request, context)
         call = service.ServiceRequest(
             request.method,
@@ -195,20 +243,36 @@
         )
 
     async def FetchDeclarations(self, request, context):
-        """Give a peer the declarations in force here."""
+        """Return the active declarations, without the documents that the peer has."""
         await self._check(request, context, has_clock=False)
         packed = self._declarations.pack(request.known_digests)
         return peers_pb2.DeclarationsFound(
             revision=packed.revision, head=packed.head, documents=packed.documents
         )
 
-    # What this daemon asks of peers.
+    # Requests of this daemon to peers.
 
     async def forward_call(self, address, account, pool, call, timeout):
-        """Pass a call on and return its `call_runner.CallReply`.
-
-        Returns None where the peer can't be reached or does not answer, so
-        that it isn't known whether the call ran.
+        """Forward a call to the peer that minted its ticket.
+
+        Parameters
+        ----------
+        address : str
+            The peer's address, as ``host:port``.
+        account : str
+            The account that makes the call.
+        pool : str
+            The pool of targets that the call is for.
+        call : service.ServiceRequest
+            The call; its key is the ticket.
+        timeout : datetime.timedelta
+            How long the call may take. The peer gets a second more to answer.
+
+        Returns
+        -------
+        reply : call_runner.CallReply or None
+            The peer's reply. None if the peer is unreachable or does not answer, so
+            that it is unknown whether the call ran.
 
         Raises
         ------
@@ -237,7 +301,7 @@
         return call_runner.CallReply(stored, answer.replayed)
 
     def _gossip(self, command):
-        """Begin a round with a peer."""
+        """Start a gossip round with a peer."""
         message = self._round_to_wire(command.message)
         if message.ByteSize() > datagrams.MAX_BYTES:
             self._spawn(self._gossip_at_length(command.peer_address, message))
@@ -249,9 +313,9 @@
         try:
             self._send(number, False, message, _split(command.peer_address))
         except ValueError as error:
-            # What peers tell of each other isn't checked; this is within a tick,
-            # which the daemon can't do without.
-            _log.warning("{!r} is no peer's address. {}", command.peer_address, error)
+            # Peer addresses that arrive by gossip aren't validated. An error raised
+            # here would end the task that ticks, and with it the daemon.
+            _log.warning("Invalid peer address {!r}. {}", command.peer_address, error)
 
     async def _gossip_at_length(self, address, message):
         begun_at = self._now()
@@ -266,7 +330,7 @@
         self._datagrams.send(datagram.SerializeToString(), peer)
 
     def _forget_rounds(self, now):
-        """Forget rounds whose answer was lost, or would come too late to be used."""
+        """Remove rounds that have had no answer within `_ROUND_TIMEOUT`."""
         for number, begun_at in list(self._begun_by_round.items()):
             if now - begun_at < _ROUND_TIMEOUT:
                 break
@@ -276,7 +340,7 @@
         try:
             datagram = peers_pb2.GossipDatagram.FromString(payload)
         except protobuf_message.DecodeError as error:
-            _log.warning("A datagram from {} can't be read. {}", peer, error)
+            _log.warning("Can't decode a datagram from {}. {}", peer, error)
             return
         self._clock.merge(datagram.message.clock)
         if not datagram.is_answer:
@@ -304,7 +368,11 @@
         self._driver.feed(gossip.GossipAnswered(address, message))
 
     def _round_to_wire(self, message):
-        """Return the protobuf form of a round's message, made once for all peers."""
+        """Return the protobuf form of a gossip message.
+
+        A round sends the same message object to several peers, so its protobuf form is
+        made only once.
+        """
         if self._round_message is not message:
             self._round_message = message
             self._round_on_wire = self._gossip_to_wire(message)
@@ -352,7 +420,15 @@
         await self.fetch_from(command.peer_address)
 
     async def fetch_from(self, address):
-        """Get what a peer knows of the platform, or wait while that is under way."""
+        """Fetch and adopt what a peer knows that this daemon does not.
+
+        If a fetch is already in flight, from any peer, wait for that one instead.
+
+        Parameters
+        ----------
+        address : str
+            The peer's address, as ``host:port``.
+        """
         if self._fetching is None:
             self._fetching = self._spawn(self._fetch_from(address))
             self._fetching.add_done_callback(self._end_fetch)
@@ -393,18 +469,18 @@
         return channel
 
     async def _drop_channel(self, address):
-        """Have the next call to a peer make a new connection.
+        """Close the channel to a peer; the next call opens a new connection.
 
-        Guards against a connection that has gone silent without a close: all
-        calls on it would run into their time limits until the system's own,
-        which takes minutes.
+        Guards against a connection that is dead but was never closed: every call on it
+        would time out until the operating system gives the connection up, which
+        takes minutes. A new connection doesn't depend on the dead one.
         """
         channel = self._channel_by_address.pop(address, None)
         if channel is not None:
             await channel.close()
 
     async def _check(self, request, context, has_clock=True):
-        """Refuse a caller that is not a peer, and take its stamp in."""
+        """Abort a request without the shared key; otherwise merge its clock."""
         keys = [
             value
             for name, value in context.invocation_metadata()
@@ -416,7 +492,13 @@
             self._clock.merge(request.clock)
 
     async def _exchange(self, make_event):
-        """Feed an event and wait for the command that answers it."""
+        """Feed an event and return the command that answers it.
+
+        Parameters
+        ----------
+        make_event : callable
+            Returns the event for an exchange id, which its answer carries too.
+        """
         exchange_id = str(next(self._exchange_ids))
         reply = asyncio.get_running_loop().create_future()
         self._take_by_exchange[exchange_id] = reply.set_result
@@ -439,12 +521,12 @@
 
 
 def _split(address):
-    """Return the (host, port) of an address of a peer.
+    """Return the (host, port) of a peer address of the form ``host:port``.
 
     Raises
     ------
     ValueError
-        If it isn't an IP address and a port.
+        If the address isn't an IP address and a port.
     """
     host, _, port = address.rpartition(":")
     return str(ipaddress.ip_address(host)), int(port)
--- a/tests/daemon/test_peering.py
+++ b/tests/daemon/test_peering.py
@@ -1,4 +1,4 @@
-"""The port that a daemon answers its peers at."""
+"""The port at which a daemon serves its peers."""
 
 import pytest
 
@@ -6,10 +6,11 @@
 
 
 def test_a_peer_port_is_bound_by_one_process(go):
-    """A host takes a lease back that its name and peer address held before.
+    """Two processes with one name share a peer address, and so both hold the lease.
 
-    Two processes that shared the port would take it from each other, and give
-    orders within one lease time.
+    A host takes over a lease at once if the holder has its own name and peer address,
+    as that must be its own earlier process. Two running processes would take the lease
+    from each other and both act within one lease duration.
     """
 
     async def run():
