--- a/packages/daemon/sesamespindle/daemon/crashmessages.py
+++ b/packages/daemon/sesamespindle/daemon/crashmessages.py
@@ -1,6 +1,6 @@
-"""Turning `gossip.CrashNews` into protobuf and back.
+"""Conversion of `gossip.CrashNews` to protobuf and back.
 
-Times are told as ages: hosts' clocks aren't compared.
+Clocks of hosts aren't compared: messages carry ages, in seconds at the time of sending.
 """
 
 import datetime
@@ -10,7 +10,19 @@
 
 
 def to_wire(news, now):
-    """Return the fields of a protobuf gossip message, by name."""
+    """Return the crash fields of a protobuf gossip message, by field name.
+
+    Parameters
+    ----------
+    news : gossip.CrashNews
+        Target crashes, and requests that are cleared or quarantined.
+    now : datetime.datetime
+        The time of sending, which ages count back from.
+
+    Returns
+    -------
+    fields : dict of str to list
+    """
     return {
         "crashes": [_crash_to_wire(item, now) for item in news.crashes],
         "cleared": [
@@ -34,7 +46,19 @@
 
 
 def from_wire(message, sent_at):
-    """Return the `gossip.CrashNews` of a protobuf gossip message."""
+    """Return the crash records of a protobuf gossip message.
+
+    Parameters
+    ----------
+    message : peers_pb2.GossipMessage
+        The message.
+    sent_at : datetime.datetime
+        When it was sent, by this host's clock; ages count back from here.
+
+    Returns
+    -------
+    news : gossip.CrashNews
+    """
     return gossip.CrashNews(
         tuple(_crash_from_wire(item, sent_at) for item in message.crashes),
         tuple(
--- a/packages/daemon/sesamespindle/daemon/peermessages.py
+++ b/packages/daemon/sesamespindle/daemon/peermessages.py
@@ -1,4 +1,8 @@
-"""Turning the decision logic's peer messages into protobuf and back."""
+"""Conversion of the decision logic's peer messages to protobuf and back.
+
+Clocks of hosts aren't compared. Messages carry ages, in seconds at the time of sending,
+and the receiver converts them to times of its own clock.
+"""
 
 import dataclasses
 import datetime
@@ -10,7 +14,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Known:
-    """What a daemon has of the platform, so that peers need not send it."""
+    """What a daemon already has, so that a peer sends only the rest.
+
+    Attributes
+    ----------
+    revision : int
+        The active revision of the declarations.
+    digests : list of str
+        What it has, in the form that the peer's `pack` expects: the digests of its
+        documents for `watchers.DeclarationsWatcher`.
+    """
 
     revision: int
     digests: list
@@ -18,7 +31,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Packed:
-    """What a daemon tells a peer of the platform."""
+    """What a daemon sends to a peer that fetches declarations from it.
+
+    Attributes
+    ----------
+    revision : int
+        The active revision of the declarations.
+    head : bytes
+        JSON in the form that the peer's `unpack` expects: for
+        `watchers.DeclarationsWatcher` the head, which lists the documents of the
+        revision.
+    documents : dict of str to bytes
+        The documents that the peer doesn't have, as JSON by digest.
+    """
 
     revision: int
     head: bytes
@@ -26,7 +51,21 @@
 
 
 def gossip_to_wire(message, stamp, now):
-    """Return the protobuf form of an `gossip.GossipMessage`."""
+    """Return the protobuf form of a gossip message.
+
+    Parameters
+    ----------
+    message : gossip.GossipMessage
+        The message.
+    stamp : int
+        The sender's hybrid logical clock; see `eventlog.HybridClock`.
+    now : datetime.datetime
+        The time of sending, which ages count back from.
+
+    Returns
+    -------
+    message : peers_pb2.GossipMessage
+    """
     return peers_pb2.GossipMessage(
         sender=message.sender,
         data_centre=message.data_centre,
@@ -82,17 +121,24 @@
 
 
 def gossip_from_wire(message, now, sent_after=None):
-    """Return the `gossip.GossipMessage` of a protobuf message.
+    """Return the gossip message of a protobuf message.
 
     Parameters
     ----------
+    message : peers_pb2.GossipMessage
+        The protobuf message.
     now : datetime.datetime
-        When it arrived. What is told in durations and may rather seem young than
-        old counts from here.
+        When the message is processed. The age of a lease release counts back from
+        here: it is safe if the holder's last action seems later than it was.
     sent_after : datetime.datetime, optional
-        A time after which it was sent, where one is known. Versions count from
-        here: an answer that lay here while this process was paused would have them
-        named later than they were.
+        For an answer, when its gossip round started; the answer was sent after that.
+        All other ages count back from here if it is given, otherwise from `now`.
+        If this process is paused, `now` can be much later than the sending, and
+        version announcements would seem later than they were.
+
+    Returns
+    -------
+    message : gossip.GossipMessage
     """
     return gossip.GossipMessage(
         message.sender,
@@ -138,7 +184,7 @@
 
 
 def _release_to_wire(release, now):
-    """Return how long ago the last act was; hosts' clocks aren't compared."""
+    """Return the release with the age of the holder's last action; None for None."""
     if release is None:
         return None
     quiet_for = (now - release.last_act_at).total_seconds()
@@ -153,7 +199,7 @@
 
 
 def _naming_to_wire(naming, now):
-    """Return how long ago a version was named; hosts' clocks aren't compared."""
+    """Return the announcement of a weight version, with its age."""
     return peers_pb2.Naming(
         model=naming.model,
         version=naming.version,
@@ -174,7 +220,10 @@
 
 
 def _word_to_wire(word, now):
-    """Return how long ago a store was known to answer, and the engines' clock."""
+    """Return the known position of a KV store, with the age of its last check.
+
+    The engines' clock, if known, is sent as its reading in milliseconds at `now`.
+    """
     clock_ms = None
     if word.clock_lead is not None:
         clock_ms = now.timestamp() * 1000.0 + word.clock_lead
@@ -228,7 +277,7 @@
 
 
 def asks_to_wire(asks):
-    """Return the protobuf forms of `events.SliceAsk` records."""
+    """Return the protobuf forms of `events.SliceAsk` records, as a list."""
     return [
         peers_pb2.SliceAsk(
             account=ask.account,
@@ -243,7 +292,7 @@
 
 
 def asks_from_wire(asks):
-    """Return the `events.SliceAsk` records of protobuf messages."""
+    """Return the `events.SliceAsk` records of protobuf messages, as a tuple."""
     return tuple(
         events.SliceAsk(
             ask.account,
@@ -258,7 +307,7 @@
 
 
 def grants_to_wire(grants):
-    """Return the protobuf forms of `events.SliceGrant` records."""
+    """Return the protobuf forms of `events.SliceGrant` records, as a list."""
     return [
         peers_pb2.SliceGrant(
             account=grant.account,
@@ -271,7 +320,7 @@
 
 
 def grants_from_wire(grants):
-    """Return the `events.SliceGrant` records of protobuf messages."""
+    """Return the `events.SliceGrant` records of protobuf messages, as a tuple."""
     return tuple(
         events.SliceGrant(
             grant.account, events.Resource(grant.resource), grant.slots, grant.grant
--- a/tests/daemon/test_crashmessages.py
+++ b/tests/daemon/test_crashmessages.py
@@ -1,4 +1,4 @@
-"""What hosts tell each other of crashes is the same at the other host."""
+"""Crash records are the same after they are sent to another host."""
 
 import datetime
 
@@ -26,7 +26,10 @@
 
 
 def test_times_are_told_as_ages():
-    """The clock of a peer is a minute ahead: crashes would be taken for later ones."""
+    """The clocks of two hosts differ by a minute, and with them the time of a crash.
+
+    If times were sent as they are, the receiver would date the crash a minute wrong.
+    """
     message = gossip.GossipMessage("entry-1", "dc-1", crash_news=NEWS)
     wire = peermessages.gossip_to_wire(message, 5, NOW)
     there = NOW - 60 * SECOND
