--- a/packages/daemon/sesamespindle/daemon/datagrams.py
+++ b/packages/daemon/sesamespindle/daemon/datagrams.py
@@ -1,4 +1,4 @@
-"""Short messages between daemons, as datagrams that are signed."""
+"""Short messages between daemons, as signed UDP datagrams."""
 
 import asyncio
 import hashlib
@@ -7,26 +7,29 @@
 from sesamespindle.daemon import logs
 
 _log = logs.part("peers")
-# Bytes of a signature: forging one takes 2**127 tries.
+# Length of a signature in bytes: forging one takes 2**127 attempts on average.
 _SIGNATURE_BYTES = 16
-# The longest payload that is sent as a datagram, in bytes: below the 65,507 that IPv4
-# takes, with room for what systems add. Gossip of 40 hosts and 100 targets has 8 KB.
+# The longest payload that is sent as a datagram, in bytes. IPv4 allows 65,507; the rest
+# is a margin for the signature and for headers that networks add. A gossip message of
+# 40 hosts and 100 targets has 8 KB.
 MAX_BYTES = 60_000
 
 
 class Datagrams(asyncio.DatagramProtocol):
-    """A port for datagrams of peers that share a key.
+    """A UDP port for signed datagrams between daemons that share a key.
 
-    One may be lost, or come late; who sends sees to that. Gossip is sent this way
-    and not by gRPC because its rounds are most of what an idle daemon does, and gRPC's
-    threads wake each other for each.
+    Datagrams may be lost, duplicated or delayed; callers of `send` must tolerate that.
+    Gossip is sent this way and not over gRPC because gossip rounds are most of what
+    an idle daemon does, and each gRPC call wakes several of the library's threads,
+    which then wake each other.
 
     Parameters
     ----------
     key : str
-        The secret that all daemons share; datagrams without it are dropped.
+        The secret that all daemons share; datagrams that aren't signed with it are
+        dropped.
     take : callable
-        Called with the payload and the (host, port) that it came from.
+        Called with the payload and the sender's (host, port) for each datagram.
     """
 
     def __init__(self, key, take):
@@ -35,37 +38,56 @@
         self._transport = None
 
     async def open(self, host, port):
-        """Begin to receive at an address."""
+        """Start to send and receive at an address.
+
+        Raises
+        ------
+        OSError
+            If the port can't be bound.
+        """
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(lambda: self, local_addr=(host, port))
 
     def close(self):
-        """Stop sending and receiving."""
+        """Stop sending and receiving; does nothing if the port isn't open."""
         if self._transport is not None:
             self._transport.close()
             self._transport = None
 
     def send(self, payload, peer):
-        """Send a payload of at most `MAX_BYTES` to a (host, port)."""
+        """Sign and send a payload; does nothing if the port isn't open.
+
+        Parameters
+        ----------
+        payload : bytes
+            At most `MAX_BYTES` long.
+        peer : tuple of (str, int)
+            The receiver's IP address and port.
+        """
         if self._transport is not None:
             self._transport.sendto(self._sign(payload) + payload, peer)
 
-    # What the event loop calls.
+    # Callbacks of the event loop.
 
     def connection_made(self, transport):
-        """Take the port that was opened."""
+        """Store the transport of the opened port."""
         self._transport = transport
 
     def datagram_received(self, data, addr):
-        """Hand a datagram on if a peer has signed it."""
+        """Pass a datagram's payload on if its signature is valid.
+
+        Guards against datagrams of senders that aren't daemons: forged gossip would
+        add hosts that don't exist, and callers would be sent to them. Without the
+        shared key nobody can make a valid signature.
+        """
         signature, payload = data[:_SIGNATURE_BYTES], data[_SIGNATURE_BYTES:]
         if hmac.compare_digest(signature, self._sign(payload)):
             self._take(payload, addr)
         else:
-            _log.debug("A datagram from {} isn't of a peer.", addr)
+            _log.debug("Dropped a datagram from {}: invalid signature.", addr)
 
     def error_received(self, exc):
-        """Note that one couldn't be sent; whoever needs it sends another."""
+        """Log that a datagram could not be sent; it is treated like a lost one."""
         _log.debug("A datagram could not be sent. {}", exc)
 
     def _sign(self, payload):
--- a/tests/daemon/test_datagrams.py
+++ b/tests/daemon/test_datagrams.py
@@ -1,4 +1,4 @@
-"""Short messages between daemons, as signed datagrams."""
+"""Short messages between daemons, as signed UDP datagrams."""
 
 import asyncio
 import datetime
@@ -13,7 +13,7 @@
 
 
 class _Port:
-    """A port for datagrams on a loopback address, and what it has taken."""
+    """A datagram port on a loopback address, with a queue of received payloads."""
 
     def __init__(self, key):
         self.taken = asyncio.Queue()
@@ -38,9 +38,9 @@
 
 
 def test_a_datagram_without_the_key_of_all_daemons_is_dropped(go):
-    """Somebody else on the network sends gossip to a daemon's port.
+    """A sender without the shared key sends forged gossip to a daemon's port.
 
-    Taken in it would have hosts named to callers that nobody runs.
+    If the daemon accepted it, callers would be sent to hosts that don't exist.
     """
 
     async def run():
@@ -70,7 +70,7 @@
 
 
 class _Peer:
-    """A daemon's decision logic, and the peering that carries out its commands."""
+    """A daemon's decision logic with its peering; sets `answered` on each answer."""
 
     def __init__(self, name):
         server, port = peering.bind("127.0.0.1", 0)
@@ -104,7 +104,10 @@
 
 @pytest.mark.parametrize("names", [0, 3000], ids=["short", "too-long-for-a-datagram"])
 def test_a_round_of_gossip_is_answered(go, names):
-    """Two daemons make a round; a message of 3,000 names is no datagram any more."""
+    """A round starts with a message that fits a datagram, or is too long for one.
+
+    A message with 3,000 names is too long and goes over gRPC.
+    """
 
     async def run():
         wanted = tuple(f"a-host-with-a-long-name-{number}" for number in range(names))
@@ -118,9 +121,10 @@
 
 
 def test_an_answer_is_used_once_and_not_after_its_time(go):
-    """An answer is doubled on its way, and another comes seconds late.
+    """One answer to a gossip round is duplicated, and another arrives two seconds late.
 
-    What it tells is old by then, and counts from a time that nobody knows.
+    Its content is out of date by then, and the start of its round, which its ages count
+    back from, is no longer known.
     """
 
     async def run():
@@ -151,10 +155,10 @@
     ["", "nobody", "nobody:80", "127.0.0.1:", "127.0.0.1:x", "127.0.0.1:99999"],
 )
 def test_a_peer_address_that_leads_nowhere_ends_nothing(go, address):
-    """Another writer changes the record of a host, and its address with it.
+    """A host's record has an invalid peer address.
 
-    The next round of gossip with that host raised an error in the daemon's ticks,
-    which a daemon can't do without, so that all hosts would have ended one by one.
+    If the next gossip round with that host raises an error, it ends the task that ticks
+    and with it the daemon. All hosts that know the record would end like this.
     """
 
     async def run():
