--- a/packages/daemon/sesamespindle/daemon/assembly.py
+++ b/packages/daemon/sesamespindle/daemon/assembly.py
@@ -1,4 +1,4 @@
-"""Putting a daemon's parts together, and taking them down again."""
+"""Start and shutdown of a daemon and of the parts that it consists of."""
 
 import asyncio
 import contextlib
@@ -28,23 +28,31 @@
 from sesamespindle.wire import clock, engine, platform
 
 _log = logs.part("daemon")
-# A leaving daemon serves on until no request came for this long, so that
-# callers who were given its address a moment ago are still answered.
+# A leaving daemon keeps serving until it has been idle for this long, so that callers
+# who received its address just before it left are still answered.
 _QUIET_SECONDS = 1.5
 _POLL_SECONDS = 0.05
-# How long the last round of gossip may take.
+# Time in which the last gossip messages are sent, which announce that this daemon has
+# left.
 _FAREWELL_SECONDS = 0.3
 _BACKLOG = 1024
 
 
 @dataclasses.dataclass
 class Parts:
-    """The parts of one daemon that its fronts use.
+    """The parts of a daemon that its HTTP servers use.
 
     Attributes
     ----------
+    settings : sesamespindle.declare.settings.Settings
+        The settings of the host.
+    stop_asked : asyncio.Event
+        Set to make the daemon leave.
+    leaving : bool
+        Whether the daemon is shutting down.
     in_hand : int
-        Callers' requests that the front has not answered yet, whoever runs them.
+        The number of callers' requests that the front has not answered yet. Calls
+        that a peer runs for them are included.
     """
 
     settings: object
@@ -62,16 +70,19 @@
 
 
 class Daemon(aiomisc.Service):
-    """One entry host's daemon, from its first port to its last answer.
+    """The daemon of an entry host, as a service that starts and stops.
 
     Parameters
     ----------
     settings : sesamespindle.declare.settings.Settings
-        What the daemon was told at its start.
+        The settings of the host.
     announce : callable
-        Gets the `events.Host` of this daemon once it listens.
+        Called with the `events.Host` of this daemon once it listens.
     stop_asked : asyncio.Event
-        Set when the daemon is to leave; more than once does no harm.
+        Set to make the daemon leave. The daemon itself sets it when an operator
+        drains it or when one of its background tasks fails.
+    **kwargs
+        Passed on to `aiomisc.Service`.
     """
 
     def __init__(self, settings, announce, stop_asked, **kwargs):
@@ -85,7 +96,15 @@
         self._parts = None
 
     async def start(self):
-        """Listen, put the parts together and begin to watch."""
+        """Open the ports, create the parts and start the background tasks.
+
+        Raises
+        ------
+        OSError
+            If a port can't be bound.
+        RuntimeError
+            If the peer port can't be bound.
+        """
         settings = self._settings
         caller_socket = _listen(settings.listen)
         admin_socket = _listen(settings.admin)
@@ -112,7 +131,7 @@
         _log.info("Listens at {}.", me.url)
 
     async def stop(self, exception=None):
-        """Leave: tell peers, finish all in flight, then close."""
+        """Leave: announce it to peers, finish requests in flight, then close."""
         await self._finish_in_flight()
         self._parts.driver.feed(events.HasLeft())
         await asyncio.sleep(_FAREWELL_SECONDS)
@@ -195,14 +214,17 @@
             task.add_done_callback(self._leave_if_failed)
 
     def _leave_if_failed(self, task):
-        """Leave when a part fails that the daemon can't do without.
+        """Make the daemon leave if one of its background tasks failed.
 
-        Guards against a daemon that still answers callers but has stopped to
-        renew its slices or its membership: it would be trusted and be wrong.
+        Guards against a daemon that still answers callers but no longer renews its
+        slices or its membership: callers and peers would rely on it although its
+        state is out of date. Once it leaves, they use other entries.
         """
         if task.cancelled() or task.exception() is None:
             return
-        _log.opt(exception=task.exception()).error("A part failed; the daemon leaves.")
+        _log.opt(exception=task.exception()).error(
+            "A background task failed; the daemon leaves."
+        )
         self._stop_asked.set()
 
     async def _tick(self):
@@ -212,17 +234,20 @@
             await asyncio.sleep(self._settings.tick_seconds)
 
     async def _finish_in_flight(self):
-        """Serve what still comes, until it has been quiet for a while.
+        """Keep serving until the daemon is idle or its grace time is over.
+
+        Idle means that for `_QUIET_SECONDS` no request was in flight and no claim, the
+        idempotency record of a call, was still being written.
 
-        Guards against cutting callers off who were given this address just
-        before: they keep it for some time, so the ports stay open, while
-        other entries already leave this one out of what they tell callers.
+        Guards against cutting off callers who received this daemon's address just
+        before. They keep it for some time, so the ports stay open for them. New
+        callers don't come: other entries no longer list this one.
         """
         parts = self._parts
         parts.leaving = True
         ends_at = parts.driver.clock.now() + self._settings.shutdown_grace
         parts.driver.feed(events.LeaveAsked(ends_at))
-        _log.info("Leaves, with {} requests in hand.", parts.in_hand)
+        _log.info("Leaving with {} requests in flight.", parts.in_hand)
         quiet = 0.0
         while quiet < _QUIET_SECONDS and parts.driver.clock.now() < ends_at:
             await asyncio.sleep(_POLL_SECONDS)
--- a/packages/daemon/sesamespindle/daemon/main.py
+++ b/packages/daemon/sesamespindle/daemon/main.py
@@ -1,4 +1,4 @@
-"""The program that runs on every entry host."""
+"""The command line program that runs the daemon of an entry host."""
 
 import asyncio
 import dataclasses
@@ -24,7 +24,7 @@
 
 @app.default
 def run(config: pathlib.Path):
-    """Run the daemon until it is told to leave by SIGTERM or SIGINT.
+    """Run the daemon until SIGTERM or SIGINT makes it leave.
 
     Parameters
     ----------
@@ -47,7 +47,8 @@
         shutdown_timeout=grace * 2,
         catch_signals=(signal.SIGUSR2,),
     )
-    # Before the entrypoint is entered, which opens the ports.
+    # Entering the entrypoint opens the ports. The handlers are installed before that,
+    # so that a signal makes the daemon leave in order as soon as a port is open.
     for number in (signal.SIGTERM, signal.SIGINT):
         signals.on_signal(entrypoint.loop, number, stop_asked.set)
     with entrypoint as loop:
@@ -55,7 +56,7 @@
 
 
 def _announce(me):
-    """Print where the daemon listens, as one line of JSON."""
+    """Print the daemon's name, addresses and incarnation as one line of JSON."""
     fields = dataclasses.asdict(me)
     print(json.dumps({name: fields[name] for name in _ANNOUNCED}), flush=True)
 
--- a/packages/daemon/sesamespindle/daemon/signals.py
+++ b/packages/daemon/sesamespindle/daemon/signals.py
@@ -1,24 +1,27 @@
-"""Signals that a process listens to before it opens its first port."""
+"""Signal handlers that also work while the event loop is not running."""
 
 import signal
 
 
 def on_signal(loop, number, callback, *arguments):
-    """Have a loop call back at each signal of a number, from now on.
+    """Register a callback that an event loop runs for each signal of a number.
 
-    Guards against a signal that is lost. A daemon's loop runs once to start it
-    and once more until it is told to leave, and the loop's own handlers forget
-    what comes while it doesn't run. A signal that comes when the loop has been
-    closed is too late to matter.
+    Guards against a lost signal: a daemon that should leave would go on serving. The
+    daemon's loop runs twice, once to start the daemon and then until it leaves, and the
+    loop's own signal handlers lose signals that arrive in between. This handler
+    schedules the callback also then, and the loop calls it when it runs again. Signals
+    that arrive after the loop is closed are ignored.
 
     Parameters
     ----------
     loop : asyncio.AbstractEventLoop
-        Need not run yet.
+        The loop; it need not be running.
     number : signal.Signals
         The signal.
     callback : callable
         Called in the loop, with the arguments.
+    *arguments
+        The arguments of the callback.
     """
 
     def take(*_):
--- a/tests/daemon/test_assembly.py
+++ b/tests/daemon/test_assembly.py
@@ -1,4 +1,4 @@
-"""What a daemon that is told to leave still owes its callers."""
+"""Graceful shutdown: what a daemon that leaves still does for its callers."""
 
 import asyncio
 import signal
@@ -8,8 +8,8 @@
 from sesamespindle.lab import caller, fleet
 
 SERVICE = "bookings-1"
-# Longer than a leaving entry without work stays: 1.5 s of quiet, 0.3 s of farewell
-# and the second that the HTTP library gives its handlers.
+# Longer than an idle entry takes to leave: 1.5 s until it counts as idle, 0.3 s for its
+# last gossip and the second that the HTTP library gives its handlers.
 CALL_SECONDS = 4.0
 
 
@@ -19,7 +19,17 @@
 
 
 class Booking:
-    """A call that the service takes `CALL_SECONDS` for."""
+    """A call that books something at a service.
+
+    Parameters
+    ----------
+    running : fleet.Fleet
+        The fleet that serves the call.
+    reference : str
+        Identifies the booking, so that its runs can be counted.
+    key : str
+        The idempotency key or ticket.
+    """
 
     def __init__(self, running, reference, key=""):
         self.running = running
@@ -28,7 +38,7 @@
         self.caller = caller.Caller(running.session, fleet.demo_key("bookings-desk"))
 
     async def mint(self, entry):
-        """Take a ticket of an entry as the key."""
+        """Get a ticket from an entry and use it as the key."""
         self.key = await self.caller.ticket(self.running.url(entry))
 
     async def send(self, entry):
@@ -52,12 +62,11 @@
 
 
 def test_a_call_passed_on_to_a_peer_is_answered_before_the_entry_ends(running, go):
-    """A call under another entry's ticket, at an entry that is told to leave.
+    """An entry that leaves drops the answer of a call that it has forwarded to a peer.
 
-    A customer books under a ticket; the entry it comes to passes it on to the
-    one that minted the ticket, and is replaced meanwhile. It counts only what
-    it runs itself, believes that nothing is left to do, and ends: the
-    connection breaks, though the booking is made.
+    The call's ticket was minted by the peer, so the entry forwards the call and then
+    leaves. If it counts only calls that it runs itself, it ends at once: the caller's
+    connection breaks although the booking is made.
     """
 
     async def run():
@@ -77,12 +86,11 @@
 
 
 def test_a_leaving_entry_takes_no_call_that_may_outlast_it(running, go):
-    """Calls that come to an entry that is told to leave while it still works.
+    """An entry that leaves accepts calls that don't finish within its grace time.
 
-    A customer reads a long answer, so the entry stays until its time is up.
-    Meanwhile others book there, some by tickets that are passed on to it, or by
-    it. The services are slow: when the entry's time is up the bookings are cut
-    off, and nobody knows which of them were made.
+    The entry still waits for the answer of an earlier call. New calls arrive directly,
+    forwarded by a peer, and to be forwarded to a peer. The service is slow, so when the
+    grace time ends these calls would be cut off, and whether they ran is unknown.
     """
 
     async def run():
@@ -134,11 +142,10 @@
 
 
 def test_callers_of_streams_leave_the_connections_of_a_leaving_entry(running, go):
-    """Callers with kept connections stay at a leaving entry until it is gone.
+    """A caller keeps using its connection to a leaving entry until the process ends.
 
-    Whole answers and refusals ask them to close the connection, streamed ones
-    didn't: nine streams went over one connection, the last eight of them begun
-    after SIGTERM, and the next request met the end of the process.
+    If a streamed answer doesn't tell the caller to close the connection, as other
+    answers and refusals do, its next request fails when the process ends.
     """
 
     async def run():
--- a/tests/daemon/test_main.py
+++ b/tests/daemon/test_main.py
@@ -1,4 +1,4 @@
-"""The daemon's process, from its announcement on."""
+"""The daemon's process after it has announced itself."""
 
 import signal
 
@@ -9,11 +9,11 @@
 
 
 def test_an_entry_that_is_told_to_leave_as_it_announces_itself_leaves(go, tmp_path):
-    """A new entry is taken back in the moment in which it is there.
+    """SIGTERM arrives just after a new entry has announced itself.
 
-    Its ports were open and announced some milliseconds before SIGTERM was
-    listened to. In between SIGTERM ended the process outright, and with it all
-    that callers had just sent, and peers were not told.
+    If the ports are open some milliseconds before the handler of SIGTERM is installed,
+    the signal kills the process at once: requests in flight are lost, and peers don't
+    learn that the entry has left.
     """
     path = tmp_path / "entry.yaml"
     values = {
--- a/tests/daemon/test_signals.py
+++ b/tests/daemon/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals that come while the loop doesn't run."""
+"""Signals that arrive while the event loop is not running."""
 
 import asyncio
 import os
@@ -10,10 +10,10 @@
 
 
 def test_a_signal_that_comes_between_two_runs_of_the_loop_is_taken(request):
-    """A host is told to leave in the moment between its start and its long run.
+    """A signal arrives between the loop's run that starts the daemon and the next.
 
-    The loop's own handlers forget such a signal: the host would serve on as if
-    nothing had been said, until the platform kills it.
+    The loop's own signal handlers lose such a signal: the host would go on serving
+    until the platform kills it.
     """
     before = signal.getsignal(signal.SIGUSR1)
     request.addfinalizer(lambda: signal.signal(signal.SIGUSR1, before))
