--- a/packages/daemon/sesamespindle/daemon/watchers.py
+++ b/packages/daemon/sesamespindle/daemon/watchers.py
@@ -1,4 +1,4 @@
-"""Reading what the outside tells: declarations, hosts and loads."""
+"""Background tasks that read declarations, the host list and engine loads."""
 
 import asyncio
 import datetime
@@ -11,23 +11,41 @@
 from sesamespindle.wire import head, platform
 
 _log = logs.part("watch")
+# Limit on reads of the host list by all daemons of the fleet together.
 _HOST_READS_PER_SECOND = 50
+# Numbers of engines that are read in one round, at most: of those that run requests of
+# this entry, and of the others.
 _MOST_LOADS_READ = 12
 _OTHERS_READ = 2
-# How often a daemon that learns from others makes sure at the platform itself.
+# How often a daemon that receives declarations from peers checks the platform itself.
 _CHECK_INTERVAL = datetime.timedelta(seconds=30)
+# How often such a daemon checks whether it has become a watcher of its data centre.
 _WATCHER_CHECK_SECONDS = 0.5
 
 
 class DeclarationsWatcher:
-    """Adopts every higher revision of the declarations.
+    """Reads the declarations and adopts every higher revision of them.
+
+    A revision is stored as a head, which lists the digests of its documents, and as
+    one document for each entity. Revisions come from the platform or from peers.
 
     Parameters
     ----------
     driver : sesamespindle.daemon.driver.Driver
-        Gets `events.DeclarationsAdopted`.
+        Receives `events.DeclarationsAdopted`.
     keyring : sesamespindle.daemon.auth.Keyring
-        Gets the keys of the contracts.
+        Receives the API keys of the contracts.
+    client : sesamespindle.wire.platform.PlatformClient
+        The platform's object store.
+    settings : sesamespindle.declare.settings.Settings
+        The settings of the host.
+
+    Attributes
+    ----------
+    head : sesamespindle.wire.head.Head
+        The head of the active revision.
+    known : asyncio.Event
+        Set once a revision is active.
     """
 
     def __init__(self, driver, keyring, client, settings):
@@ -40,7 +58,7 @@
         self.known = asyncio.Event()
 
     async def run(self):
-        """Watch the head for as long as the daemon runs."""
+        """Watch the platform for new revisions until cancelled."""
         source = random.Random(self._driver.core.state.me.incarnation)
         version = 0
         while True:
@@ -48,12 +66,17 @@
             try:
                 version = await self._wait_for_change(version)
             except (platform.PlatformAwayError, findings.FindingsError) as error:
-                _log.warning("No declarations from the platform. {}", error)
+                _log.warning("Failed to read the declarations. {}", error)
                 pause = retries.spread(self._settings.host_list_interval, source)
                 await asyncio.sleep(pause.total_seconds())
 
     async def _wait_for_turn(self, source):
-        """Leave the watch to others of the data centre, but for a check."""
+        """Return once this daemon is to read the platform.
+
+        That is at once if it has no declarations yet. Otherwise it waits until it is
+        one of the few watchers of its data centre, which pass changes on to the others
+        by gossip, or until the time of its own occasional check.
+        """
         check_at = self._driver.clock.now() + retries.spread(_CHECK_INTERVAL, source)
         while self.known.is_set() and self._driver.clock.now() < check_at:
             if self._driver.core.is_watcher():
@@ -72,16 +95,36 @@
         return stored.version
 
     def missing(self, wanted):
-        """Return the digests of a head's documents that aren't known here."""
+        """Return the digests of a head's documents that this daemon doesn't have.
+
+        Parameters
+        ----------
+        wanted : sesamespindle.wire.head.Head
+            The head.
+
+        Returns
+        -------
+        digests : set of str
+        """
         return set(wanted.digest_by_key.values()) - self._content_by_digest.keys()
 
     def summary(self):
-        """Return what a peer need not send."""
+        """Return the `peermessages.Known` record of what a peer need not send."""
         digests = list(self.head.digest_by_key.values())
         return peermessages.Known(self.head.revision, digests)
 
     def pack(self, known_digests):
-        """Return the head in force and its documents but for the known ones."""
+        """Return the active head and its documents, without those that a peer has.
+
+        Parameters
+        ----------
+        known_digests : iterable of str
+            The digests of the documents that the peer has.
+
+        Returns
+        -------
+        packed : peermessages.Packed
+        """
         wanted = set(self.head.digest_by_key.values()) - set(known_digests)
         documents_by_digest = {
             digest: json.dumps(self._content_by_digest[digest]).encode()
@@ -91,7 +134,20 @@
         return peermessages.Packed(self.head.revision, raw_head, documents_by_digest)
 
     async def unpack(self, raw_head, documents_by_digest):
-        """Adopt what a peer packed."""
+        """Adopt what a peer packed, if its revision is higher.
+
+        Parameters
+        ----------
+        raw_head : bytes
+            The head as JSON.
+        documents_by_digest : dict of str to bytes
+            Documents as JSON; they and the ones known here cover the head.
+
+        Raises
+        ------
+        findings.FindingsError
+            If the documents are invalid.
+        """
         value = json.loads(raw_head)
         found = head.Head(
             value["revision"], value["digest_by_key"], tuple(value["nonces"])
@@ -102,7 +158,20 @@
         await self.adopt(found, contents)
 
     async def adopt(self, new_head, content_by_digest):
-        """Put a head in force if it is higher than the one that is."""
+        """Activate a head if its revision is higher than the active one.
+
+        Parameters
+        ----------
+        new_head : sesamespindle.wire.head.Head
+            The head.
+        content_by_digest : dict of str to dict
+            Contents of its documents; those known here may be missing.
+
+        Raises
+        ------
+        findings.FindingsError
+            If the documents are invalid. The active revision stays.
+        """
         if new_head.revision <= self.head.revision:
             return
         self._content_by_digest |= content_by_digest
@@ -118,14 +187,23 @@
         self._driver.feed(events.DeclarationsAdopted(revision, declarations))
         self._keyring.replace(declarations.contracts)
         self.known.set()
-        _log.info("Revision {} is in force.", revision)
+        _log.info("Revision {} of the declarations is active.", revision)
 
 
 class HostsWatcher:
-    """Reads the platform's lagging list of hosts again and again.
+    """Polls the platform's list of hosts, which lags behind the hosts' real state.
+
+    The interval grows with the fleet, so that all daemons together read the list at
+    most `_HOST_READS_PER_SECOND` times a second.
 
-    The larger the fleet, the more seldom: the reads of all daemons together
-    grow no more once there are `_HOST_READS_PER_SECOND` a second.
+    Parameters
+    ----------
+    driver : sesamespindle.daemon.driver.Driver
+        Receives `events.HostsListed`.
+    client : sesamespindle.wire.platform.PlatformClient
+        The platform's object store.
+    settings : sesamespindle.declare.settings.Settings
+        The settings of the host, with the shortest interval.
     """
 
     def __init__(self, driver, client, settings):
@@ -134,7 +212,7 @@
         self._settings = settings
 
     async def run(self):
-        """Read the list for as long as the daemon runs."""
+        """Read the list at intervals until cancelled."""
         source = random.Random(self._driver.core.state.me.incarnation + 1)
         version = 0
         while True:
@@ -144,7 +222,7 @@
                     version = listed.version
                     self._driver.feed(events.HostsListed(listed.value))
             except platform.PlatformAwayError as error:
-                _log.warning("No host list from the platform. {}", error)
+                _log.warning("Failed to read the host list. {}", error)
             entries = len(self._driver.core.state.entries)
             fair = datetime.timedelta(seconds=entries / _HOST_READS_PER_SECOND)
             interval = max(self._settings.host_list_interval, fair)
@@ -152,10 +230,20 @@
 
 
 class LoadWatcher:
-    """Reads the load reports of the engines, which lag.
+    """Polls the load reports of the engines, which lag behind their real load.
+
+    Each round reads engines that run requests of this entry, up to a limit, and a few
+    of the others in turn, so that the cost does not grow with the number of engines.
 
-    Each round reads the engines that this entry uses, and a few of the others
-    in turn, so that the cost does not grow with the number of engines.
+    Parameters
+    ----------
+    driver : sesamespindle.daemon.driver.Driver
+        Receives `events.LoadReported`, and `events.TargetLeaving` for engines that
+        leave.
+    engines : sesamespindle.wire.engine.EngineClient
+        Reads the reports.
+    settings : sesamespindle.declare.settings.Settings
+        The settings of the host, with the interval between rounds.
     """
 
     def __init__(self, driver, engines, settings):
@@ -166,7 +254,7 @@
         self._turn = 0
 
     async def run(self):
-        """Read the reports for as long as the daemon runs."""
+        """Read the reports at intervals until cancelled."""
         while True:
             await asyncio.gather(*(self._read(row) for row in self._choose()))
             await asyncio.sleep(self._interval)
