--- a/packages/daemon/sesamespindle/daemon/driver.py
+++ b/packages/daemon/sesamespindle/daemon/driver.py
@@ -1,4 +1,4 @@
-"""Feeding the decision logic, and handing on what it commands."""
+"""Feeding events to the decision logic, and passing its commands on."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 
 
 class Exchange:
-    """The commands about one request, in their order."""
+    """A queue of the commands that concern one request, in order."""
 
     def __init__(self):
         self._queue = asyncio.Queue()
@@ -24,18 +24,25 @@
 
 
 class Driver:
-    """Steps the decision logic for every event, on the one loop.
+    """Feeds events to the decision logic and dispatches the commands that it returns.
+
+    It must be used from one event loop only; the decision logic isn't thread-safe.
 
     Parameters
     ----------
     core : sesamespindle.decide.core.Core
-        The decision logic.
+        The decision logic, or another object with the same `step` and `state`.
     clock : sesamespindle.wire.clock.Clock
-        The present.
+        The clock.
     event_log : sesamespindle.daemon.eventlog.EventLog
-        Where notes go.
+        Records notes, and sends, resumptions and refusals of requests.
     note_level : str
-        The level at which notes are logged.
+        The log level of notes.
+
+    Attributes
+    ----------
+    exchange_by_request : dict of str to Exchange
+        The exchanges of requests that have no final answer yet, by request id.
     """
 
     def __init__(self, core, clock, event_log, note_level="DEBUG"):
@@ -47,27 +54,40 @@
         self._note_level = note_level
 
     def on(self, command_type, handler):
-        """Have commands of a type that belong to no request carried out."""
+        """Register the handler of a type of command.
+
+        Commands with a handler don't go to the exchange of a request.
+
+        Parameters
+        ----------
+        command_type : type
+            The class of the commands.
+        handler : callable
+            Called with each command, within `feed`; it must not block.
+        """
         self._handler_by_command[command_type] = handler
 
     def feed(self, *happened):
-        """Take events in and hand on the commands that follow."""
+        """Feed events to the decision logic and dispatch the resulting commands.
+
+        A command for a request that has no exchange any more is dropped.
+        """
         for command in self.core.step(self.clock.now(), happened):
             self._hand_on(command)
 
     def open(self, request_id):
-        """Return the `Exchange` of a new request."""
+        """Register a new request and return its `Exchange`."""
         exchange = Exchange()
         self.exchange_by_request[request_id] = exchange
         return exchange
 
     def close(self, request_id):
-        """Forget the exchange of a request that has its answer."""
+        """Remove the exchange of a request that is over; ignore an unknown request."""
         self.exchange_by_request.pop(request_id, None)
 
     @property
     def in_flight(self):
-        """Return the number of requests that have no answer yet."""
+        """The number of requests that have no final answer yet."""
         return len(self.exchange_by_request)
 
     def _hand_on(self, command):
