--- a/packages/daemon/sesamespindle/daemon/admin.py
+++ b/packages/daemon/sesamespindle/daemon/admin.py
@@ -1,4 +1,4 @@
-"""The HTTP front towards operators."""
+"""The HTTP API for operators."""
 
 import dataclasses
 import hmac
@@ -9,7 +9,15 @@
 
 
 class Admin:
-    """Answers operators' questions about this daemon, and their orders."""
+    """Serves the status and event log of this daemon, and drains it or its targets.
+
+    Requests need the admin key as bearer token.
+
+    Parameters
+    ----------
+    parts : sesamespindle.daemon.assembly.Parts
+        The daemon's parts.
+    """
 
     def __init__(self, parts):
         self._parts = parts
--- a/packages/daemon/sesamespindle/daemon/eventlog.py
+++ b/packages/daemon/sesamespindle/daemon/eventlog.py
@@ -1,4 +1,4 @@
-"""A bounded log of events, stamped so that all daemons' logs can be merged."""
+"""A bounded log of events, with stamps by which logs of all daemons can be merged."""
 
 import collections
 import dataclasses
@@ -8,11 +8,11 @@
 
 
 class HybridClock:
-    """A hybrid logical clock: milliseconds, and a counter for ties.
+    """A hybrid logical clock: wall clock milliseconds, and a counter for ties.
 
-    A stamp is larger than every stamp that was seen before it, here or in a
-    message, so the order of stamps keeps causes before their effects even
-    where hosts' clocks differ.
+    A stamp is larger than every stamp that was made here or received in a message
+    before. So causes have smaller stamps than their effects, even if the clocks of
+    hosts differ.
 
     Parameters
     ----------
@@ -25,18 +25,25 @@
         self._last = 0
 
     def stamp(self):
-        """Return a new stamp, larger than all before."""
+        """Return a new stamp, larger than all before.
+
+        Returns
+        -------
+        stamp : int
+            Milliseconds since the Unix epoch in the upper bits, and a counter in the
+            lower 16 bits.
+        """
         milliseconds = int(self._clock.now().timestamp() * 1000)
         self._last = max(self._last + 1, milliseconds << _COUNTER_BITS)
         return self._last
 
     def merge(self, other):
-        """Take in the stamp of a message."""
+        """Advance the clock to the stamp of a received message, if that is larger."""
         self._last = max(self._last, other)
 
 
 def milliseconds_of(stamp):
-    """Return the milliseconds since the epoch of a stamp."""
+    """Return the time of a stamp, in milliseconds since the Unix epoch."""
     return stamp >> _COUNTER_BITS
 
 
@@ -47,7 +54,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Entry:
-    """One event: what happened to what, where and when."""
+    """An event.
+
+    Attributes
+    ----------
+    stamp : int
+        When it happened, by `HybridClock.stamp`.
+    daemon : str
+        The name of the daemon that recorded it.
+    kind : str
+        What happened.
+    subject : str
+        What it happened to, such as a request id or the name of a target.
+    detail : str
+        Details for the operator.
+    """
 
     stamp: int
     daemon: str
@@ -64,9 +85,9 @@
     daemon : str
         The daemon's name.
     clock : HybridClock
-        Where stamps come from.
+        Stamps the events.
     size : int
-        How many events are kept.
+        The number of events to keep.
     """
 
     def __init__(self, daemon, clock, size):
@@ -75,7 +96,7 @@
         self._entries = collections.deque(maxlen=size)
 
     def add(self, kind, subject, detail=""):
-        """Add an event."""
+        """Record an event, with a new stamp."""
         entry = Entry(self.clock.stamp(), self._daemon, kind, subject, detail)
         self._entries.append(entry)
 
--- a/packages/daemon/sesamespindle/daemon/lifeprobe.py
+++ b/packages/daemon/sesamespindle/daemon/lifeprobe.py
@@ -1,4 +1,4 @@
-"""Finding out whether a target still accepts connections."""
+"""Probes that check whether a target still accepts connections."""
 
 import asyncio
 
@@ -9,12 +9,14 @@
 
 
 class LifeProbe:
-    """Carries out `crashes.ProbeLife`; a context manager that ends what is under way.
+    """Carries out `crashes.ProbeLife` commands.
+
+    Used as a context manager, it cancels the probes in flight at the end.
 
     Parameters
     ----------
     driver : sesamespindle.daemon.driver.Driver
-        Gets what is found out.
+        Receives `crashes.LifeRefuses` for targets that refuse the connection.
     """
 
     def __init__(self, driver):
@@ -36,10 +38,11 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _probe(self, command):
-        """Connect once, and tell if the connection is refused.
+        """Connect once, and report if the connection is refused.
 
-        A connection that is made tells nothing, as the next life may have the address
-        already; nor does silence, as the link may be cut.
+        Only a refusal shows that this incarnation of the target has ended. If the
+        connection is made, the target's next incarnation may already listen at the
+        address; if there is no answer, the network may be interrupted.
         """
         place = command.address.rpartition("//")[2]
         host, _, port = place.rpartition(":")
@@ -49,6 +52,8 @@
         except ConnectionRefusedError:
             self._driver.feed(crashes.LifeRefuses(command.life))
         except (OSError, TimeoutError) as error:
-            _log.debug("Target {} can't be probed. {!r}", command.life.name, error)
+            _log.debug(
+                "Inconclusive probe of target {}. {!r}", command.life.name, error
+            )
         else:
             writer.close()
--- a/packages/daemon/sesamespindle/daemon/logs.py
+++ b/packages/daemon/sesamespindle/daemon/logs.py
@@ -1,4 +1,4 @@
-"""Log lines by loguru: a fixed prefix for each part, text or JSON."""
+"""Logging with loguru, as text or JSON, with a fixed prefix for each part."""
 
 import collections
 import json
@@ -11,7 +11,15 @@
 
 
 def set_up(log_settings, daemon):
-    """Send log lines to standard error in the form that the settings ask for."""
+    """Log to standard error in the format of the settings.
+
+    Parameters
+    ----------
+    log_settings : sesamespindle.declare.settings.Log
+        The format and level.
+    daemon : str
+        The daemon's name.
+    """
     loguru.logger.remove()
     loguru.logger.configure(extra={"part": "daemon", "request": "-", "host": daemon})
     loguru.logger.add(
@@ -25,18 +33,24 @@
 
 
 class BoundedLines:
-    """Writes lines to a file descriptor without ever waiting for it.
+    """A bounded buffer of log lines that are written without blocking.
 
-    Guards against a reader of the logs that stops reading: the lines beyond
-    the bound are dropped and counted, and the count is written once there is
-    room again.
+    Guards against a daemon that hangs because the reader of its log has stopped: a
+    write to the full pipe would block. Here lines wait in the buffer instead. Lines
+    beyond its size are dropped and counted, and the count is logged once there is
+    space again.
 
     Parameters
     ----------
     descriptor : int
-        Where lines go; it is set not to block.
+        The file descriptor that lines are written to; it is set to non-blocking.
     most : int
-        Lines that may wait.
+        The number of lines that the buffer holds.
+
+    Attributes
+    ----------
+    dropped : int
+        The number of dropped lines that hasn't been logged yet.
     """
 
     def __init__(self, descriptor, most=2000):
@@ -48,14 +62,14 @@
         os.set_blocking(descriptor, False)
 
     def add(self, line):
-        """Take a line in, or count it as dropped."""
+        """Add a line to the buffer, or count it as dropped if the buffer is full."""
         if len(self._lines) >= self._most:
             self.dropped += 1
             return
         self._lines.append(line)
 
     def flush(self):
-        """Write as much as the descriptor takes now."""
+        """Write as many lines as the descriptor accepts without blocking."""
         if self.dropped and len(self._lines) < self._most:
             lost = {"part": "logs", "message": f"{self.dropped} lines were dropped."}
             self._lines.append(json.dumps(lost))
@@ -71,9 +85,20 @@
 
 
 def set_up_lines(host, level="INFO"):
-    """Send log lines as JSON to standard output; return the `BoundedLines`.
+    """Log JSON lines to standard output, without blocking.
 
-    Whoever calls this has `BoundedLines.flush` called again and again.
+    Parameters
+    ----------
+    host : str
+        The host's name, for the lines.
+    level : str
+        The lowest level that is logged.
+
+    Returns
+    -------
+    lines : BoundedLines
+        The buffer. The caller must call its `flush` regularly; lines are written only
+        then.
     """
     lines = BoundedLines(sys.stdout.fileno())
 
@@ -98,5 +123,11 @@
 
 
 def part(name):
-    """Return the logger of one part of the daemon."""
+    """Return the logger of a part of the daemon.
+
+    Parameters
+    ----------
+    name : str
+        The part's name, which prefixes its lines.
+    """
     return loguru.logger.bind(part=name)
--- a/packages/daemon/sesamespindle/daemon/measures.py
+++ b/packages/daemon/sesamespindle/daemon/measures.py
@@ -1,13 +1,14 @@
-"""Counters and latency histograms, served as text."""
+"""Counters, gauges and latency histograms in the Prometheus text format."""
 
 import collections
 
-# Upper bounds of the buckets in seconds; the users' latency goals lie between.
+# Upper bounds of the histogram buckets, in seconds. The users' latency goals lie within
+# this range.
 _BOUNDS = (0.01, 0.025, 0.05, 0.1, 0.15, 0.2, 0.4, 0.8, 1.5, 3.0, 8.0)
 
 
 class Measures:
-    """Counts what happens to requests, in the Prometheus text format."""
+    """The metrics of a daemon."""
 
     def __init__(self):
         self._refused_by_code = collections.Counter()
@@ -15,11 +16,19 @@
         self._gauges = {}
 
     def refused(self, code):
-        """Count a refusal."""
+        """Count a refused request under its error code."""
         self._refused_by_code[str(code)] += 1
 
     def first_byte(self, route, duration):
-        """Record the time to the first byte of an answer."""
+        """Record the time to the first byte of an answer.
+
+        Parameters
+        ----------
+        route : str
+            The name of the request's route.
+        duration : datetime.timedelta
+            The time from the request to the first byte.
+        """
         histogram = self._first_bytes_by_route.setdefault(
             route, [0] * (len(_BOUNDS) + 1)
         )
@@ -28,11 +37,19 @@
         histogram[place] += 1
 
     def gauge(self, name, read):
-        """Have a function called for a value whenever the text is made."""
+        """Register a gauge.
+
+        Parameters
+        ----------
+        name : str
+            The metric's name, without the prefix ``sesamespindle_``.
+        read : callable
+            Returns the current value; called each time that `text` is.
+        """
         self._gauges[name] = read
 
     def text(self):
-        """Return all measures."""
+        """Return all metrics in the Prometheus text format."""
         lines = [
             f'sesamespindle_refused_total{{code="{code}"}} {count}'
             for code, count in sorted(self._refused_by_code.items())
--- a/packages/daemon/sesamespindle/daemon/metrics.py
+++ b/packages/daemon/sesamespindle/daemon/metrics.py
@@ -1,10 +1,16 @@
-"""Metrics by statsd: the three measures, and refusals by code."""
+"""Metrics sent to statsd: first tokens, origin of contexts, refusals and load."""
 
 import statsd
 
 
 class Metrics:
-    """Sends metrics, or nothing where no host is set."""
+    """Sends metrics to statsd, or does nothing if no statsd host is configured.
+
+    Parameters
+    ----------
+    settings : sesamespindle.declare.settings.Statsd
+        The statsd host, port and prefix.
+    """
 
     def __init__(self, settings):
         self._client = None
@@ -14,7 +20,17 @@
             )
 
     def first_token(self, account, duration, started):
-        """Record the time to first token, and where the context came from."""
+        """Record the time to first token, and where the KV cache came from.
+
+        Parameters
+        ----------
+        account : str
+            The client account.
+        duration : datetime.timedelta
+            The time to first token.
+        started : sesamespindle.wire.engine.Started
+            How many prompt tokens were reused, imported and computed.
+        """
         if self._client is None:
             return
         self._client.timing(f"first_token.{account}", duration)
@@ -23,11 +39,11 @@
         self._client.incr("context.computed_tokens", started.computed_tokens)
 
     def refused(self, code):
-        """Count a refusal."""
+        """Count a refused request under its error code."""
         if self._client is not None:
             self._client.incr(f"refused.{code}")
 
     def in_flight(self, count):
-        """Record the requests in flight."""
+        """Record the number of requests in flight."""
         if self._client is not None:
             self._client.gauge("in_flight", count)
