--- a/packages/daemon/sesamespindle/daemon/assembly.py
+++ b/packages/daemon/sesamespindle/daemon/assembly.py
@@ -30,11 +30,11 @@
 _log = logs.part("daemon")
 # A leaving daemon keeps serving until it has been idle for this long, so that callers
 # who received its address just before it left are still answered.
-_QUIET_SECONDS = 1.5
+_IDLE_SECONDS = 1.5
 _POLL_SECONDS = 0.05
 # Time in which the last gossip messages are sent, which announce that this daemon has
 # left.
-_FAREWELL_SECONDS = 0.3
+_LAST_GOSSIP_SECONDS = 0.3
 _BACKLOG = 1024
 
 
@@ -92,7 +92,7 @@
         self._stop_asked = stop_asked
         self._clock = clock.SystemClock()
         self._stack = contextlib.AsyncExitStack()
-        self._watching = []
+        self._tasks = []
         self._parts = None
 
     async def start(self):
@@ -126,7 +126,7 @@
         )
         self._parts = await self._assemble(me, session, client, server, peer_port)
         await self._serve(caller_socket, admin_socket)
-        self._begin_watching(client)
+        self._start_tasks(client)
         self._announce(me)
         _log.info("Listens at {}.", me.url)
 
@@ -134,10 +134,10 @@
         """Leave: announce it to peers, finish requests in flight, then close."""
         await self._finish_in_flight()
         self._parts.driver.feed(events.HasLeft())
-        await asyncio.sleep(_FAREWELL_SECONDS)
-        for task in self._watching:
+        await asyncio.sleep(_LAST_GOSSIP_SECONDS)
+        for task in self._tasks:
             task.cancel()
-        await asyncio.gather(*self._watching, return_exceptions=True)
+        await asyncio.gather(*self._tasks, return_exceptions=True)
         await self._stack.aclose()
         _log.info("Has left.")
 
@@ -146,49 +146,51 @@
         log = eventlog.EventLog(
             me.name, eventlog.HybridClock(self._clock), settings.event_log_size
         )
-        decide = core.Core(
+        decision_logic = core.Core(
             me,
             _policy(settings),
             me.incarnation,
             settings.seeds,
             settings.token_key.get_secret_value(),
         )
-        driving = driver.Driver(decide, self._clock, log)
+        core_driver = driver.Driver(decision_logic, self._clock, log)
         keyring = auth.Keyring()
-        declarations = watchers.DeclarationsWatcher(driving, keyring, client, settings)
+        declarations = watchers.DeclarationsWatcher(
+            core_driver, keyring, client, settings
+        )
         signer = tokens.Signer(settings.token_key.get_secret_value())
         timeout = settings.policy.call_timeout
-        await self._stack.enter_async_context(lifeprobe.LifeProbe(driving))
+        await self._stack.enter_async_context(lifeprobe.LifeProbe(core_driver))
         calls = await self._stack.enter_async_context(
-            call_runner.CallRunner(driving, client, timeout)
+            call_runner.CallRunner(core_driver, client, timeout)
         )
         peers = await self._stack.enter_async_context(
             peering.Peering(
-                driving, declarations, server, settings.admin_key.get_secret_value()
+                core_driver, declarations, server, settings.admin_key.get_secret_value()
             )
         )
-        peers.serve_calls(calls, timeout)
+        peers.set_call_runner(calls, timeout)
         await peers.start(str(settings.peers.host), peer_port)
         return Parts(
             settings,
-            driving,
+            core_driver,
             keyring,
             signer,
             metrics.Metrics(settings.statsd),
             engine.EngineClient(session, settings.engine_silence),
             declarations,
             calls,
-            tickets.Tickets(driving, calls, signer, peers, timeout),
+            tickets.Tickets(core_driver, calls, signer, peers, timeout),
             self._stop_asked,
         )
 
     async def _serve(self, caller_socket, admin_socket):
         limits = self._settings.limits
-        fronts = (
+        servers = (
             (front.Front(self._parts).application(), caller_socket),
             (admin.Admin(self._parts).application(), admin_socket),
         )
-        for application, listening in fronts:
+        for application, listening_socket in servers:
             runner = aiohttp.web.AppRunner(
                 application,
                 handler_cancellation=True,
@@ -199,18 +201,20 @@
             )
             await runner.setup()
             self._stack.push_async_callback(runner.cleanup)
-            await aiohttp.web.SockSite(runner, listening, backlog=_BACKLOG).start()
+            await aiohttp.web.SockSite(
+                runner, listening_socket, backlog=_BACKLOG
+            ).start()
 
-    def _begin_watching(self, client):
+    def _start_tasks(self, client):
         parts = self._parts
-        runs = [
+        coroutines = [
             parts.declarations.run(),
             watchers.HostsWatcher(parts.driver, client, self._settings).run(),
             watchers.LoadWatcher(parts.driver, parts.engines, self._settings).run(),
             self._tick(),
         ]
-        self._watching = [asyncio.create_task(run) for run in runs]
-        for task in self._watching:
+        self._tasks = [asyncio.create_task(item) for item in coroutines]
+        for task in self._tasks:
             task.add_done_callback(self._leave_if_failed)
 
     def _leave_if_failed(self, task):
@@ -236,7 +240,7 @@
     async def _finish_in_flight(self):
         """Keep serving until the daemon is idle or its grace time is over.
 
-        Idle means that for `_QUIET_SECONDS` no request was in flight and no claim, the
+        Idle means that for `_IDLE_SECONDS` no request was in flight and no claim, the
         idempotency record of a call, was still being written.
 
         Guards against cutting off callers who received this daemon's address just
@@ -248,12 +252,12 @@
         ends_at = parts.driver.clock.now() + self._settings.shutdown_grace
         parts.driver.feed(events.LeaveAsked(ends_at))
         _log.info("Leaving with {} requests in flight.", parts.in_hand)
-        quiet = 0.0
-        while quiet < _QUIET_SECONDS and parts.driver.clock.now() < ends_at:
+        idle_seconds = 0.0
+        while idle_seconds < _IDLE_SECONDS and parts.driver.clock.now() < ends_at:
             await asyncio.sleep(_POLL_SECONDS)
-            quiet += _POLL_SECONDS
+            idle_seconds += _POLL_SECONDS
             if parts.in_hand or parts.calls.unsettled:
-                quiet = 0.0
+                idle_seconds = 0.0
 
 
 def _policy(settings):
@@ -275,6 +279,6 @@
     )
 
 
-def _url(listening):
-    host, port = listening.getsockname()[:2]
+def _url(listening_socket):
+    host, port = listening_socket.getsockname()[:2]
     return f"http://{host}:{port}"
--- a/packages/daemon/sesamespindle/daemon/datagrams.py
+++ b/packages/daemon/sesamespindle/daemon/datagrams.py
@@ -28,13 +28,13 @@
     key : str
         The secret that all daemons share; datagrams that aren't signed with it are
         dropped.
-    take : callable
+    on_payload : callable
         Called with the payload and the sender's (host, port) for each datagram.
     """
 
-    def __init__(self, key, take):
+    def __init__(self, key, on_payload):
         self._key = hashlib.blake2b(key.encode()).digest()
-        self._take = take
+        self._on_payload = on_payload
         self._transport = None
 
     async def open(self, host, port):
@@ -82,7 +82,7 @@
         """
         signature, payload = data[:_SIGNATURE_BYTES], data[_SIGNATURE_BYTES:]
         if hmac.compare_digest(signature, self._sign(payload)):
-            self._take(payload, addr)
+            self._on_payload(payload, addr)
         else:
             _log.debug("Dropped a datagram from {}: invalid signature.", addr)
 
--- a/packages/daemon/sesamespindle/daemon/driver.py
+++ b/packages/daemon/sesamespindle/daemon/driver.py
@@ -67,13 +67,13 @@
         """
         self._handler_by_command[command_type] = handler
 
-    def feed(self, *happened):
+    def feed(self, *new_events):
         """Feed events to the decision logic and dispatch the resulting commands.
 
         A command for a request that has no exchange any more is dropped.
         """
-        for command in self.core.step(self.clock.now(), happened):
-            self._hand_on(command)
+        for command in self.core.step(self.clock.now(), new_events):
+            self._dispatch(command)
 
     def open(self, request_id):
         """Register a new request and return its `Exchange`."""
@@ -90,7 +90,7 @@
         """The number of requests that have no final answer yet."""
         return len(self.exchange_by_request)
 
-    def _hand_on(self, command):
+    def _dispatch(self, command):
         match command:
             case commands.Note():
                 self.event_log.add(command.kind, command.subject, command.detail)
--- a/packages/daemon/sesamespindle/daemon/peering.py
+++ b/packages/daemon/sesamespindle/daemon/peering.py
@@ -97,36 +97,37 @@
         self._calls = None
         self._call_timeout = None
         self._channel_by_address = {}
-        self._take_by_exchange = {}
+        self._deliver_by_exchange = {}
         self._datagrams = datagrams.Datagrams(key, self._receive_datagram)
         # Start times of the gossip rounds that have no answer yet, oldest first.
-        self._begun_by_round = {}
+        self._started_at_by_round = {}
         # The message of the latest gossip round, and its protobuf form.
-        self._round_message = self._round_on_wire = None
-        self._rounds = itertools.count(1)
+        self._latest_message = self._latest_message_on_wire = None
+        self._round_numbers = itertools.count(1)
         self._exchange_ids = itertools.count()
         self._tasks = set()
-        self._fetching = None
+        self._fetch_task = None
         self._server = server
-        self._on_commands()
+        self._register_handlers()
 
     def _now(self):
         return self._driver.clock.now()
 
-    def _on_commands(self):
+    def _register_handlers(self):
         driver = self._driver
         driver.on(commands.GossipTo, self._gossip)
-        driver.on(commands.AskSlices, lambda item: self._spawn(self._ask(item)))
+        driver.on(commands.AskSlices, lambda item: self._spawn(self._ask_slices(item)))
         driver.on(
             commands.AskHoldings, lambda item: self._spawn(self._ask_holdings(item))
         )
         driver.on(
-            commands.FetchDeclarations, lambda item: self._spawn(self._fetch(item))
+            commands.FetchDeclarations,
+            lambda item: self._spawn(self._handle_fetch(item)),
         )
         for kind in (commands.GossipReply, commands.GrantSlices, commands.TellHoldings):
-            driver.on(kind, self._take_reply)
+            driver.on(kind, self._deliver_reply)
 
-    def serve_calls(self, calls, timeout):
+    def set_call_runner(self, calls, timeout):
         """Set what runs the calls that peers forward.
 
         Parameters
@@ -167,7 +168,7 @@
 
     async def Gossip(self, request, context):
         """Answer a gossip message that is too long for a datagram."""
-        await self._check(request, context)
+        await self._authenticate(request, context)
         message = peermessages.gossip_from_wire(request, self._now())
         reply = await self._exchange(
             lambda exchange_id: gossip.GossipReceived(exchange_id, message)
@@ -179,7 +180,7 @@
 
         A slice is a lease on a share of an account's limit.
         """
-        await self._check(request, context)
+        await self._authenticate(request, context)
         asks = peermessages.asks_from_wire(request.asks)
         reply = await self._exchange(
             lambda exchange_id: events.SlicesAsked(
@@ -196,7 +197,7 @@
 
     async def AskHoldings(self, request, context):
         """Return the slices that this daemon holds, for a new owner of the accounts."""
-        await self._check(request, context)
+        await self._authenticate(request, context)
         accounts = tuple(request.accounts)
         reply = await self._exchange(
             lambda exchange_id: events.HoldingsAsked(
@@ -213,7 +214,7 @@
 
     async def ForwardCall(self, request, context):
         """Run a call whose ticket this daemon minted."""
-        await self._check(request, context)
+        await self._authenticate(request, context)
         call = service.ServiceRequest(
             request.method,
             request.path,
@@ -244,7 +245,7 @@
 
     async def FetchDeclarations(self, request, context):
         """Return the active declarations, without the documents that the peer has."""
-        await self._check(request, context, has_clock=False)
+        await self._authenticate(request, context, has_clock=False)
         packed = self._declarations.pack(request.known_digests)
         return peers_pb2.DeclarationsFound(
             revision=packed.revision, head=packed.head, documents=packed.documents
@@ -302,26 +303,26 @@
 
     def _gossip(self, command):
         """Start a gossip round with a peer."""
-        message = self._round_to_wire(command.message)
+        message = self._cached_gossip_to_wire(command.message)
         if message.ByteSize() > datagrams.MAX_BYTES:
-            self._spawn(self._gossip_at_length(command.peer_address, message))
+            self._spawn(self._gossip_over_grpc(command.peer_address, message))
             return
         now = self._now()
-        number = next(self._rounds)
-        self._begun_by_round[number] = now
-        self._forget_rounds(now)
+        number = next(self._round_numbers)
+        self._started_at_by_round[number] = now
+        self._expire_rounds(now)
         try:
-            self._send(number, False, message, _split(command.peer_address))
+            self._send(number, False, message, _parse_address(command.peer_address))
         except ValueError as error:
             # Peer addresses that arrive by gossip aren't validated. An error raised
             # here would end the task that ticks, and with it the daemon.
             _log.warning("Invalid peer address {!r}. {}", command.peer_address, error)
 
-    async def _gossip_at_length(self, address, message):
-        begun_at = self._now()
+    async def _gossip_over_grpc(self, address, message):
+        started_at = self._now()
         answer = await self._call(address, "Gossip", message)
         if answer is not None:
-            self._take_answer(address, answer, begun_at)
+            self._receive_answer(address, answer, started_at)
 
     def _send(self, number, is_answer, message, peer):
         datagram = peers_pb2.GossipDatagram(
@@ -329,12 +330,12 @@
         )
         self._datagrams.send(datagram.SerializeToString(), peer)
 
-    def _forget_rounds(self, now):
+    def _expire_rounds(self, now):
         """Remove rounds that have had no answer within `_ROUND_TIMEOUT`."""
-        for number, begun_at in list(self._begun_by_round.items()):
-            if now - begun_at < _ROUND_TIMEOUT:
+        for number, started_at in list(self._started_at_by_round.items()):
+            if now - started_at < _ROUND_TIMEOUT:
                 break
-            del self._begun_by_round[number]
+            del self._started_at_by_round[number]
 
     def _receive_datagram(self, payload, peer):
         try:
@@ -346,43 +347,43 @@
         if not datagram.is_answer:
             self._answer_round(datagram, peer)
             return
-        self._forget_rounds(self._now())
-        begun_at = self._begun_by_round.pop(datagram.round, None)
-        if begun_at is not None:
+        self._expire_rounds(self._now())
+        started_at = self._started_at_by_round.pop(datagram.round, None)
+        if started_at is not None:
             host, port = peer[:2]
-            self._take_answer(f"{host}:{port}", datagram.message, begun_at)
+            self._receive_answer(f"{host}:{port}", datagram.message, started_at)
 
     def _answer_round(self, datagram, peer):
         message = peermessages.gossip_from_wire(datagram.message, self._now())
         exchange_id = str(next(self._exchange_ids))
         replied = []
-        self._take_by_exchange[exchange_id] = replied.append
+        self._deliver_by_exchange[exchange_id] = replied.append
         self._driver.feed(gossip.GossipReceived(exchange_id, message))
-        self._take_by_exchange.pop(exchange_id, None)
+        self._deliver_by_exchange.pop(exchange_id, None)
         for reply in replied:
             answer = self._gossip_to_wire(reply.message)
             self._send(datagram.round, True, answer, peer)
 
-    def _take_answer(self, address, answer, begun_at):
-        message = peermessages.gossip_from_wire(answer, self._now(), begun_at)
+    def _receive_answer(self, address, answer, started_at):
+        message = peermessages.gossip_from_wire(answer, self._now(), started_at)
         self._driver.feed(gossip.GossipAnswered(address, message))
 
-    def _round_to_wire(self, message):
+    def _cached_gossip_to_wire(self, message):
         """Return the protobuf form of a gossip message.
 
         A round sends the same message object to several peers, so its protobuf form is
         made only once.
         """
-        if self._round_message is not message:
-            self._round_message = message
-            self._round_on_wire = self._gossip_to_wire(message)
-        return self._round_on_wire
+        if self._latest_message is not message:
+            self._latest_message = message
+            self._latest_message_on_wire = self._gossip_to_wire(message)
+        return self._latest_message_on_wire
 
     def _gossip_to_wire(self, message):
         stamp = self._clock.stamp()
         return peermessages.gossip_to_wire(message, stamp, self._now())
 
-    async def _ask(self, command):
+    async def _ask_slices(self, command):
         asked_at = self._driver.clock.now()
         request = peers_pb2.SliceAsks(
             entry=self._driver.core.state.me.name,
@@ -416,7 +417,7 @@
                 )
             )
 
-    async def _fetch(self, command):
+    async def _handle_fetch(self, command):
         await self.fetch_from(command.peer_address)
 
     async def fetch_from(self, address):
@@ -429,15 +430,15 @@
         address : str
             The peer's address, as ``host:port``.
         """
-        if self._fetching is None:
-            self._fetching = self._spawn(self._fetch_from(address))
-            self._fetching.add_done_callback(self._end_fetch)
-        await asyncio.shield(self._fetching)
+        if self._fetch_task is None:
+            self._fetch_task = self._spawn(self._fetch_and_adopt(address))
+            self._fetch_task.add_done_callback(self._end_fetch)
+        await asyncio.shield(self._fetch_task)
 
     def _end_fetch(self, task):
-        self._fetching = None
+        self._fetch_task = None
 
-    async def _fetch_from(self, address):
+    async def _fetch_and_adopt(self, address):
         known = self._declarations.summary()
         request = peers_pb2.DeclarationsWanted(
             above_revision=known.revision, known_digests=known.digests
@@ -479,7 +480,7 @@
         if channel is not None:
             await channel.close()
 
-    async def _check(self, request, context, has_clock=True):
+    async def _authenticate(self, request, context, has_clock=True):
         """Abort a request without the shared key; otherwise merge its clock."""
         keys = [
             value
@@ -501,17 +502,17 @@
         """
         exchange_id = str(next(self._exchange_ids))
         reply = asyncio.get_running_loop().create_future()
-        self._take_by_exchange[exchange_id] = reply.set_result
+        self._deliver_by_exchange[exchange_id] = reply.set_result
         try:
             self._driver.feed(make_event(exchange_id))
             return await reply
         finally:
-            self._take_by_exchange.pop(exchange_id, None)
+            self._deliver_by_exchange.pop(exchange_id, None)
 
-    def _take_reply(self, command):
-        take = self._take_by_exchange.pop(command.exchange_id, None)
-        if take is not None:
-            take(command)
+    def _deliver_reply(self, command):
+        deliver = self._deliver_by_exchange.pop(command.exchange_id, None)
+        if deliver is not None:
+            deliver(command)
 
     def _spawn(self, coroutine):
         task = asyncio.create_task(coroutine)
@@ -520,7 +521,7 @@
         return task
 
 
-def _split(address):
+def _parse_address(address):
     """Return the (host, port) of a peer address of the form ``host:port``.
 
     Raises
--- a/tests/daemon/test_datagrams.py
+++ b/tests/daemon/test_datagrams.py
@@ -9,16 +9,16 @@
 from sesamespindle.decide import commands, core, events, gossip
 from sesamespindle.wire import clock, peers_pb2
 
-PATIENCE_SECONDS = 5.0
+TIMEOUT_SECONDS = 5.0
 
 
 class _Port:
     """A datagram port on a loopback address, with a queue of received payloads."""
 
     def __init__(self, key):
-        self.taken = asyncio.Queue()
+        self.received = asyncio.Queue()
         self.port = datagrams.Datagrams(
-            key, lambda payload, peer: self.taken.put_nowait(payload)
+            key, lambda payload, peer: self.received.put_nowait(payload)
         )
 
     async def __aenter__(self):
@@ -33,11 +33,11 @@
         return self.port._transport.get_extra_info("sockname")
 
     async def next(self):
-        async with asyncio.timeout(PATIENCE_SECONDS):
-            return await self.taken.get()
+        async with asyncio.timeout(TIMEOUT_SECONDS):
+            return await self.received.get()
 
 
-def test_a_datagram_without_the_key_of_all_daemons_is_dropped(go):
+def test_a_datagram_signed_with_another_key_is_dropped(go):
     """A sender without the shared key sends forged gossip to a daemon's port.
 
     If the daemon accepted it, callers would be sent to hosts that don't exist.
@@ -52,12 +52,12 @@
             stranger.port.send(b"forged", ours.address)
             peer.port.send(b"true", ours.address)
             assert await ours.next() == b"true"
-            assert ours.taken.empty()
+            assert ours.received.empty()
 
     go(run())
 
 
-def test_a_datagram_that_was_changed_on_its_way_is_dropped(go):
+def test_a_datagram_that_was_changed_in_transit_is_dropped(go):
     async def run():
         async with _Port("ours") as ours, _Port("ours") as peer:
             changed = bytearray(peer.port._sign(b"payload") + b"payload")
@@ -97,13 +97,13 @@
     async def __aexit__(self, *exc_info):
         await self.peering.__aexit__(*exc_info)
 
-    def begin_round_with(self, other, **more):
+    def start_round_with(self, other, **more):
         message = gossip.GossipMessage(self.state.me.name, "dc-1", **more)
-        self.driver._hand_on(commands.GossipTo(other.address, message))
+        self.driver._dispatch(commands.GossipTo(other.address, message))
 
 
 @pytest.mark.parametrize("names", [0, 3000], ids=["short", "too-long-for-a-datagram"])
-def test_a_round_of_gossip_is_answered(go, names):
+def test_a_gossip_round_is_answered(go, names):
     """A round starts with a message that fits a datagram, or is too long for one.
 
     A message with 3,000 names is too long and goes over gRPC.
@@ -112,15 +112,15 @@
     async def run():
         wanted = tuple(f"a-host-with-a-long-name-{number}" for number in range(names))
         async with _Peer("entry-1") as first, _Peer("entry-2") as second:
-            first.begin_round_with(second, wanted=wanted)
-            async with asyncio.timeout(PATIENCE_SECONDS):
+            first.start_round_with(second, wanted=wanted)
+            async with asyncio.timeout(TIMEOUT_SECONDS):
                 await first.answered.wait()
             assert first.state.knows_entries
 
     go(run())
 
 
-def test_an_answer_is_used_once_and_not_after_its_time(go):
+def test_an_answer_is_used_once_and_only_until_the_timeout(go):
     """One answer to a gossip round is duplicated, and another arrives two seconds late.
 
     Its content is out of date by then, and the start of its round, which its ages count
@@ -129,10 +129,10 @@
 
     async def run():
         async with _Peer("entry-1") as first:
-            taken = []
-            first.peering._take_answer = lambda *args: taken.append(args)
+            received = []
+            first.peering._receive_answer = lambda *args: received.append(args)
             now = first.driver.clock.now()
-            first.peering._begun_by_round = {
+            first.peering._started_at_by_round = {
                 1: now - datetime.timedelta(seconds=2),
                 2: now,
             }
@@ -140,7 +140,7 @@
             for number in (1, 2, 2):
                 payload = _answer_to(number, message)
                 first.peering._receive_datagram(payload, ("127.0.0.1", 1))
-            assert len(taken) == 1
+            assert len(received) == 1
 
     go(run())
 
@@ -154,7 +154,7 @@
     "address",
     ["", "nobody", "nobody:80", "127.0.0.1:", "127.0.0.1:x", "127.0.0.1:99999"],
 )
-def test_a_peer_address_that_leads_nowhere_ends_nothing(go, address):
+def test_an_invalid_peer_address_does_not_end_the_daemon(go, address):
     """A host's record has an invalid peer address.
 
     If the next gossip round with that host raises an error, it ends the task that ticks
@@ -164,9 +164,9 @@
     async def run():
         async with _Peer("entry-1") as first, _Peer("entry-2") as second:
             message = gossip.GossipMessage("entry-1", "dc-1")
-            first.driver._hand_on(commands.GossipTo(address, message))
-            first.begin_round_with(second)
-            async with asyncio.timeout(PATIENCE_SECONDS):
+            first.driver._dispatch(commands.GossipTo(address, message))
+            first.start_round_with(second)
+            async with asyncio.timeout(TIMEOUT_SECONDS):
                 await first.answered.wait()
 
     go(run())
