--- a/packages/daemon/sesamespindle/daemon/crashmessages.py
+++ b/packages/daemon/sesamespindle/daemon/crashmessages.py
@@ -28,14 +28,14 @@
         "cleared": [
             peers_pb2.ClearedRequest(
                 fingerprint=bytes.fromhex(item.fingerprint),
-                seconds_ago=_age(item.at, now),
+                seconds_ago=_age_seconds(item.at, now),
             )
             for item in news.cleared
         ],
         "quarantined": [
             peers_pb2.QuarantinedRequest(
                 fingerprint=bytes.fromhex(item.fingerprint),
-                seconds_ago=_age(item.decided_at, now),
+                seconds_ago=_age_seconds(item.decided_at, now),
                 crashes=item.crashes,
                 tries=item.tries,
                 revision=item.revision,
@@ -62,13 +62,13 @@
     return gossip.CrashNews(
         tuple(_crash_from_wire(item, sent_at) for item in message.crashes),
         tuple(
-            gossip.ClearedRequest(item.fingerprint.hex(), _before(sent_at, item))
+            gossip.ClearedRequest(item.fingerprint.hex(), _time_of(sent_at, item))
             for item in message.cleared
         ),
         tuple(
             gossip.QuarantinedRequest(
                 item.fingerprint.hex(),
-                _before(sent_at, item),
+                _time_of(sent_at, item),
                 item.crashes,
                 item.tries,
                 item.revision,
@@ -83,7 +83,7 @@
         target=crash.life.name,
         born=crash.life.born,
         service=crash.service,
-        seconds_ago=_age(crash.at, now),
+        seconds_ago=_age_seconds(crash.at, now),
         suspects=[bytes.fromhex(item) for item in crash.suspects],
         is_refuted=crash.is_refuted,
     )
@@ -93,15 +93,15 @@
     return gossip.TargetCrash(
         lives.Life(message.target, message.born),
         message.service,
-        _before(sent_at, message),
+        _time_of(sent_at, message),
         tuple(item.hex() for item in message.suspects),
         message.is_refuted,
     )
 
 
-def _age(at, now):
+def _age_seconds(at, now):
     return (now - at).total_seconds()
 
 
-def _before(sent_at, message):
+def _time_of(sent_at, message):
     return sent_at - datetime.timedelta(seconds=message.seconds_ago)
--- a/packages/daemon/sesamespindle/daemon/peermessages.py
+++ b/packages/daemon/sesamespindle/daemon/peermessages.py
@@ -102,7 +102,7 @@
             )
             for item in message.target_versions
         ],
-        lease_release=_release_to_wire(message.lease_release, now),
+        lease_release=_lease_release_to_wire(message.lease_release, now),
         pending=[
             peers_pb2.PendingWork(
                 target=item.life.name,
@@ -114,8 +114,8 @@
         ],
         brief=message.brief,
         named=[_naming_to_wire(item, now) for item in message.named],
-        store_words=[_word_to_wire(item, now) for item in message.store_words],
-        store_news=[_news_to_wire(item) for item in message.store_news],
+        store_words=[_store_word_to_wire(item, now) for item in message.store_words],
+        store_news=[_store_news_to_wire(item) for item in message.store_news],
         **crashmessages.to_wire(message.crash_news, now),
     )
 
@@ -168,7 +168,7 @@
             )
             for item in message.target_versions
         ),
-        _release_from_wire(message, now),
+        _lease_release_from_wire(message, now),
         tuple(
             gossip.PendingWork(
                 lives.Life(item.target, item.born), item.tokens, item.held_tokens
@@ -177,21 +177,24 @@
         ),
         message.brief,
         tuple(_naming_from_wire(item, sent_after or now) for item in message.named),
-        tuple(_word_from_wire(item, sent_after or now) for item in message.store_words),
-        tuple(_news_from_wire(item) for item in message.store_news),
+        tuple(
+            _store_word_from_wire(item, sent_after or now)
+            for item in message.store_words
+        ),
+        tuple(_store_news_from_wire(item) for item in message.store_news),
         crashmessages.from_wire(message, sent_after or now),
     )
 
 
-def _release_to_wire(release, now):
+def _lease_release_to_wire(release, now):
     """Return the release with the age of the holder's last action; None for None."""
     if release is None:
         return None
-    quiet_for = (now - release.last_act_at).total_seconds()
-    return peers_pb2.LeaseRelease(epoch=release.epoch, quiet_seconds=quiet_for)
+    quiet_seconds = (now - release.last_act_at).total_seconds()
+    return peers_pb2.LeaseRelease(epoch=release.epoch, quiet_seconds=quiet_seconds)
 
 
-def _release_from_wire(message, now):
+def _lease_release_from_wire(message, now):
     if not message.HasField("lease_release"):
         return None
     quiet_for = datetime.timedelta(seconds=message.lease_release.quiet_seconds)
@@ -219,25 +222,25 @@
     )
 
 
-def _word_to_wire(word, now):
+def _store_word_to_wire(store_word, now):
     """Return the known position of a KV store, with the age of its last check.
 
     The engines' clock, if known, is sent as its reading in milliseconds at `now`.
     """
     clock_ms = None
-    if word.clock_lead is not None:
-        clock_ms = now.timestamp() * 1000.0 + word.clock_lead
+    if store_word.clock_lead is not None:
+        clock_ms = now.timestamp() * 1000.0 + store_word.clock_lead
     return peers_pb2.StoreWord(
-        store=word.store,
-        boot=word.boot,
-        position=word.position,
-        seconds_ago=(now - word.told_at).total_seconds(),
-        is_silent=word.is_silent,
+        store=store_word.store,
+        boot=store_word.boot,
+        position=store_word.position,
+        seconds_ago=(now - store_word.told_at).total_seconds(),
+        is_silent=store_word.is_silent,
         clock_ms=clock_ms,
     )
 
 
-def _word_from_wire(message, sent_at):
+def _store_word_from_wire(message, sent_at):
     clock_lead = None
     if message.HasField("clock_ms"):
         clock_lead = message.clock_ms - sent_at.timestamp() * 1000.0
@@ -251,7 +254,7 @@
     )
 
 
-def _news_to_wire(news):
+def _store_news_to_wire(news):
     return peers_pb2.StoreNews(
         store=news.store,
         boot=news.boot,
@@ -264,7 +267,7 @@
     )
 
 
-def _news_from_wire(message):
+def _store_news_from_wire(message):
     rows = zip(message.salts, message.part_ids, message.tokens, strict=True)
     return gossip.StoreNews(
         message.store,
--- a/tests/daemon/test_crashmessages.py
+++ b/tests/daemon/test_crashmessages.py
@@ -19,13 +19,13 @@
 )
 
 
-def test_crash_news_goes_there_and_back():
+def test_crash_records_survive_a_round_trip():
     message = gossip.GossipMessage("entry-1", "dc-1", crash_news=NEWS)
     wire = peermessages.gossip_to_wire(message, 5, NOW)
     assert peermessages.gossip_from_wire(wire, NOW).crash_news == NEWS
 
 
-def test_times_are_told_as_ages():
+def test_crash_times_are_sent_as_ages():
     """The clocks of two hosts differ by a minute, and with them the time of a crash.
 
     If times were sent as they are, the receiver would date the crash a minute wrong.
