--- a/packages/daemon/sesamespindle/daemon/watchers.py
+++ b/packages/daemon/sesamespindle/daemon/watchers.py
@@ -15,12 +15,12 @@
 _HOST_READS_PER_SECOND = 50
 # Numbers of engines that are read in one round, at most: of those that run requests of
 # this entry, and of the others.
-_MOST_LOADS_READ = 12
-_OTHERS_READ = 2
+_MAX_USED_ENGINES = 12
+_MAX_OTHER_ENGINES = 2
 # How often a daemon that receives declarations from peers checks the platform itself.
-_CHECK_INTERVAL = datetime.timedelta(seconds=30)
+_PLATFORM_CHECK_INTERVAL = datetime.timedelta(seconds=30)
 # How often such a daemon checks whether it has become a watcher of its data centre.
-_WATCHER_CHECK_SECONDS = 0.5
+_ROLE_CHECK_SECONDS = 0.5
 
 
 class DeclarationsWatcher:
@@ -59,29 +59,31 @@
 
     async def run(self):
         """Watch the platform for new revisions until cancelled."""
-        source = random.Random(self._driver.core.state.me.incarnation)
+        random_source = random.Random(self._driver.core.state.me.incarnation)
         version = 0
         while True:
-            await self._wait_for_turn(source)
+            await self._wait_until_due(random_source)
             try:
                 version = await self._wait_for_change(version)
             except (platform.PlatformAwayError, findings.FindingsError) as error:
                 _log.warning("Failed to read the declarations. {}", error)
-                pause = retries.spread(self._settings.host_list_interval, source)
+                pause = retries.spread(self._settings.host_list_interval, random_source)
                 await asyncio.sleep(pause.total_seconds())
 
-    async def _wait_for_turn(self, source):
+    async def _wait_until_due(self, random_source):
         """Return once this daemon is to read the platform.
 
         That is at once if it has no declarations yet. Otherwise it waits until it is
         one of the few watchers of its data centre, which pass changes on to the others
         by gossip, or until the time of its own occasional check.
         """
-        check_at = self._driver.clock.now() + retries.spread(_CHECK_INTERVAL, source)
+        check_at = self._driver.clock.now() + retries.spread(
+            _PLATFORM_CHECK_INTERVAL, random_source
+        )
         while self.known.is_set() and self._driver.clock.now() < check_at:
             if self._driver.core.is_watcher():
                 return
-            await asyncio.sleep(_WATCHER_CHECK_SECONDS)
+            await asyncio.sleep(_ROLE_CHECK_SECONDS)
 
     async def _wait_for_change(self, version):
         found = await self._client.watch(
@@ -181,9 +183,9 @@
         kept = set(new_head.digest_by_key.values())
         for digest in self._content_by_digest.keys() - kept:
             del self._content_by_digest[digest]
-        self._put_in_force(new_head.revision, declarations)
+        self._activate(new_head.revision, declarations)
 
-    def _put_in_force(self, revision, declarations):
+    def _activate(self, revision, declarations):
         self._driver.feed(events.DeclarationsAdopted(revision, declarations))
         self._keyring.replace(declarations.contracts)
         self.known.set()
@@ -213,7 +215,7 @@
 
     async def run(self):
         """Read the list at intervals until cancelled."""
-        source = random.Random(self._driver.core.state.me.incarnation + 1)
+        random_source = random.Random(self._driver.core.state.me.incarnation + 1)
         version = 0
         while True:
             try:
@@ -224,9 +226,9 @@
             except platform.PlatformAwayError as error:
                 _log.warning("Failed to read the host list. {}", error)
             entries = len(self._driver.core.state.entries)
-            fair = datetime.timedelta(seconds=entries / _HOST_READS_PER_SECOND)
-            interval = max(self._settings.host_list_interval, fair)
-            await asyncio.sleep(retries.spread(interval, source).total_seconds())
+            fair_interval = datetime.timedelta(seconds=entries / _HOST_READS_PER_SECOND)
+            interval = max(self._settings.host_list_interval, fair_interval)
+            await asyncio.sleep(retries.spread(interval, random_source).total_seconds())
 
 
 class LoadWatcher:
@@ -251,7 +253,7 @@
         self._engines = engines
         self._interval = settings.load_interval.total_seconds()
         self._random = random.Random(driver.core.state.me.incarnation + 2)
-        self._turn = 0
+        self._other_index = 0
 
     async def run(self):
         """Read the reports at intervals until cancelled."""
@@ -266,11 +268,11 @@
         ]
         used = [row for row in engines if row.running_here]
         others = [row for row in engines if not row.running_here]
-        chosen = self._random.sample(used, min(_MOST_LOADS_READ, len(used)))
-        room = _OTHERS_READ if used else 1
-        for _ in range(min(room, len(others))):
-            self._turn += 1
-            chosen.append(others[self._turn % len(others)])
+        chosen = self._random.sample(used, min(_MAX_USED_ENGINES, len(used)))
+        limit = _MAX_OTHER_ENGINES if used else 1
+        for _ in range(min(limit, len(others))):
+            self._other_index += 1
+            chosen.append(others[self._other_index % len(others)])
         return chosen
 
     async def _read(self, row):
