--- a/packages/daemon/sesamespindle/daemon/lifeprobe.py
+++ b/packages/daemon/sesamespindle/daemon/lifeprobe.py
@@ -22,7 +22,7 @@
     def __init__(self, driver):
         self._driver = driver
         self._tasks = set()
-        driver.on(crashes.ProbeLife, self._begin)
+        driver.on(crashes.ProbeLife, self._start_probe)
 
     async def __aenter__(self):
         return self
@@ -32,7 +32,7 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def _begin(self, command):
+    def _start_probe(self, command):
         task = asyncio.create_task(self._probe(command))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -44,8 +44,8 @@
         connection is made, the target's next incarnation may already listen at the
         address; if there is no answer, the network may be interrupted.
         """
-        place = command.address.rpartition("//")[2]
-        host, _, port = place.rpartition(":")
+        authority = command.address.rpartition("//")[2]
+        host, _, port = authority.rpartition(":")
         try:
             async with asyncio.timeout(connections.CONNECT_SECONDS):
                 _, writer = await asyncio.open_connection(host, int(port))
--- a/packages/daemon/sesamespindle/daemon/logs.py
+++ b/packages/daemon/sesamespindle/daemon/logs.py
@@ -44,7 +44,7 @@
     ----------
     descriptor : int
         The file descriptor that lines are written to; it is set to non-blocking.
-    most : int
+    max_lines : int
         The number of lines that the buffer holds.
 
     Attributes
@@ -53,35 +53,35 @@
         The number of dropped lines that hasn't been logged yet.
     """
 
-    def __init__(self, descriptor, most=2000):
+    def __init__(self, descriptor, max_lines=2000):
         self._descriptor = descriptor
         self._lines = collections.deque()
-        self._most = most
-        self._rest = b""
+        self._max_lines = max_lines
+        self._unwritten = b""
         self.dropped = 0
         os.set_blocking(descriptor, False)
 
     def add(self, line):
         """Add a line to the buffer, or count it as dropped if the buffer is full."""
-        if len(self._lines) >= self._most:
+        if len(self._lines) >= self._max_lines:
             self.dropped += 1
             return
         self._lines.append(line)
 
     def flush(self):
         """Write as many lines as the descriptor accepts without blocking."""
-        if self.dropped and len(self._lines) < self._most:
-            lost = {"part": "logs", "message": f"{self.dropped} lines were dropped."}
-            self._lines.append(json.dumps(lost))
+        if self.dropped and len(self._lines) < self._max_lines:
+            notice = {"part": "logs", "message": f"{self.dropped} lines were dropped."}
+            self._lines.append(json.dumps(notice))
             self.dropped = 0
-        while self._rest or self._lines:
-            if not self._rest:
-                self._rest = (self._lines.popleft() + "\n").encode()
+        while self._unwritten or self._lines:
+            if not self._unwritten:
+                self._unwritten = (self._lines.popleft() + "\n").encode()
             try:
-                written = os.write(self._descriptor, self._rest)
+                written = os.write(self._descriptor, self._unwritten)
             except BlockingIOError:
                 return
-            self._rest = self._rest[written:]
+            self._unwritten = self._unwritten[written:]
 
 
 def set_up_lines(host, level="INFO"):
@@ -102,7 +102,7 @@
     """
     lines = BoundedLines(sys.stdout.fileno())
 
-    def take(message):
+    def add_line(message):
         record = message.record
         line = {
             "time": record["time"].isoformat(timespec="milliseconds"),
@@ -118,7 +118,7 @@
 
     loguru.logger.remove()
     loguru.logger.configure(extra={"part": "daemon", "request": "-", "host": host})
-    loguru.logger.add(take, level=level, format="{message}", catch=False)
+    loguru.logger.add(add_line, level=level, format="{message}", catch=False)
     return lines
 
 
--- a/packages/daemon/sesamespindle/daemon/measures.py
+++ b/packages/daemon/sesamespindle/daemon/measures.py
@@ -33,8 +33,8 @@
             route, [0] * (len(_BOUNDS) + 1)
         )
         seconds = duration.total_seconds()
-        place = sum(seconds > bound for bound in _BOUNDS)
-        histogram[place] += 1
+        bucket = sum(seconds > bound for bound in _BOUNDS)
+        histogram[bucket] += 1
 
     def gauge(self, name, read):
         """Register a gauge.
--- a/packages/daemon/sesamespindle/daemon/signals.py
+++ b/packages/daemon/sesamespindle/daemon/signals.py
@@ -24,8 +24,8 @@
         The arguments of the callback.
     """
 
-    def take(*_):
+    def schedule(*_):
         if not loop.is_closed():
             loop.call_soon_threadsafe(callback, *arguments)
 
-    signal.signal(number, take)
+    signal.signal(number, schedule)
