--- a/tests/daemon/test_assembly.py
+++ b/tests/daemon/test_assembly.py
@@ -54,14 +54,14 @@
         counts = await self.running.counts(SERVICE)
         return counts["runs"].get(self.reference, 0)
 
-    async def until_run(self):
+    async def wait_until_run(self):
         async def ran():
             return await self.runs() == 1
 
         await self.running.until(ran)
 
 
-def test_a_call_passed_on_to_a_peer_is_answered_before_the_entry_ends(running, go):
+def test_a_leaving_entry_waits_for_a_call_that_it_forwarded_to_a_peer(running, go):
     """An entry that leaves drops the answer of a call that it has forwarded to a peer.
 
     The call's ticket was minted by the peer, so the entry forwards the call and then
@@ -75,7 +75,7 @@
         booking = Booking(running, "passed-on")
         await booking.mint("entry-2")
         sending = asyncio.create_task(booking.send("entry-1"))
-        await booking.until_run()
+        await booking.wait_until_run()
         leaving = running.process_by_name["entry-1"]
         leaving.send_signal(signal.SIGTERM)
         return await sending, await leaving.wait(), await booking.runs()
@@ -85,7 +85,7 @@
     assert (code, runs) == (0, 1)
 
 
-def test_a_leaving_entry_takes_no_call_that_may_outlast_it(running, go):
+def test_a_leaving_entry_refuses_calls_that_may_outlast_it(running, go):
     """An entry that leaves accepts calls that don't finish within its grace time.
 
     The entry still waits for the answer of an earlier call. New calls arrive directly,
@@ -96,7 +96,7 @@
     async def run():
         await running.start_entry("entry-4", "kgl-1", shutdown_grace="6 s")
         await running.fault(SERVICE, delay=CALL_SECONDS)
-        under_way, direct, passed_here, passed_on = (
+        in_flight, direct, forwarded_to_it, forwarded_by_it = (
             Booking(running, reference)
             for reference in ("first", "direct", "to-it", "by-it")
         )
@@ -114,22 +114,22 @@
 
         await running.wait_ready(["entry-4"])
         await running.until(is_known)
-        await passed_here.mint("entry-4")
-        await passed_on.mint("entry-2")
-        sending = asyncio.create_task(under_way.send("entry-4"))
-        await under_way.until_run()
+        await forwarded_to_it.mint("entry-4")
+        await forwarded_by_it.mint("entry-2")
+        sending = asyncio.create_task(in_flight.send("entry-4"))
+        await in_flight.wait_until_run()
         leaving.send_signal(signal.SIGTERM)
         await running.until(is_leaving)
         await running.fault(SERVICE, hold=True)
         replies = await asyncio.gather(
             direct.send("entry-4"),
-            passed_here.send("entry-2"),
-            passed_on.send("entry-4"),
+            forwarded_to_it.send("entry-2"),
+            forwarded_by_it.send("entry-4"),
         )
         first = await sending
         code = await leaving.wait()
         await running.fault(SERVICE, hold=False)
-        late = (direct, passed_here, passed_on)
+        late = (direct, forwarded_to_it, forwarded_by_it)
         return first, replies, [await booking.runs() for booking in late], code
 
     first, replies, runs, code = go(run())
@@ -141,7 +141,7 @@
     assert runs == [0, 0, 0]
 
 
-def test_callers_of_streams_leave_the_connections_of_a_leaving_entry(running, go):
+def test_a_leaving_entry_closes_connections_after_streamed_answers(running, go):
     """A caller keeps using its connection to a leaving entry until the process ends.
 
     If a streamed answer doesn't tell the caller to close the connection, as other
@@ -151,17 +151,17 @@
     async def run():
         await running.start_entry("entry-5", "kgl-1")
         await running.wait_ready(["entry-5"])
-        under_way = Booking(running, "holds-it")
+        in_flight = Booking(running, "holds-it")
         leaving = running.process_by_name["entry-5"]
 
         async def is_leaving():
-            reply = await under_way.caller.get(f"{running.url('entry-5')}/readyz")
+            reply = await in_flight.caller.get(f"{running.url('entry-5')}/readyz")
             return reply.value["leaving"]
 
         before = await stream_headers(running, "entry-5")
         await running.fault(SERVICE, hold=True)
-        sending = asyncio.create_task(under_way.send("entry-5"))
-        await under_way.until_run()
+        sending = asyncio.create_task(in_flight.send("entry-5"))
+        await in_flight.wait_until_run()
         leaving.send_signal(signal.SIGTERM)
         await running.until(is_leaving)
         after = await stream_headers(running, "entry-5")
--- a/tests/daemon/test_main.py
+++ b/tests/daemon/test_main.py
@@ -8,7 +8,7 @@
 from sesamespindle.lab import fleet, processes
 
 
-def test_an_entry_that_is_told_to_leave_as_it_announces_itself_leaves(go, tmp_path):
+def test_an_entry_leaves_in_order_on_sigterm_just_after_its_announcement(go, tmp_path):
     """SIGTERM arrives just after a new entry has announced itself.
 
     If the ports are open some milliseconds before the handler of SIGTERM is installed,
--- a/tests/daemon/test_peering.py
+++ b/tests/daemon/test_peering.py
@@ -5,7 +5,7 @@
 from sesamespindle.daemon import peering
 
 
-def test_a_peer_port_is_bound_by_one_process(go):
+def test_only_one_process_can_bind_a_peer_port(go):
     """Two processes with one name share a peer address, and so both hold the lease.
 
     A host takes over a lease at once if the holder has its own name and peer address,
