--- a/packages/daemon/sesamespindle/daemon/assembly.py
+++ b/packages/daemon/sesamespindle/daemon/assembly.py
@@ -32,9 +32,10 @@
 # who received its address just before it left are still answered.
 _IDLE_SECONDS = 1.5
 _POLL_SECONDS = 0.05
-# Time in which the last gossip messages are sent, which announce that this daemon has
-# left.
+# Pause between the last gossip messages, which announce that this daemon has left, and
+# the closing of its ports.
 _LAST_GOSSIP_SECONDS = 0.3
+# The number of connections that may wait to be accepted, for each port.
 _BACKLOG = 1024
 
 
@@ -51,8 +52,8 @@
     leaving : bool
         Whether the daemon is shutting down.
     in_hand : int
-        The number of callers' requests that the front has not answered yet. Calls
-        that a peer runs for them are included.
+        The number of callers' requests that the front has not answered yet, including
+        calls that were forwarded to a peer.
     """
 
     settings: object
@@ -232,6 +233,7 @@
         self._stop_asked.set()
 
     async def _tick(self):
+        """Make the decision logic do its periodic work, until cancelled."""
         while True:
             self._parts.driver.feed(events.Tick())
             self._parts.metrics.in_flight(self._parts.driver.in_flight)
@@ -240,8 +242,8 @@
     async def _finish_in_flight(self):
         """Keep serving until the daemon is idle or its grace time is over.
 
-        Idle means that for `_IDLE_SECONDS` no request was in flight and no claim, the
-        idempotency record of a call, was still being written.
+        It is idle when for `_IDLE_SECONDS` no caller has waited for an answer, no call
+        has run, and no claim (the idempotency record of a call) has been written.
 
         Guards against cutting off callers who received this daemon's address just
         before. They keep it for some time, so the ports stay open for them. New
--- a/packages/daemon/sesamespindle/daemon/datagrams.py
+++ b/packages/daemon/sesamespindle/daemon/datagrams.py
@@ -29,7 +29,8 @@
         The secret that all daemons share; datagrams that aren't signed with it are
         dropped.
     on_payload : callable
-        Called with the payload and the sender's (host, port) for each datagram.
+        Called with the payload and the sender's (host, port) for each datagram that
+        is signed with the key.
     """
 
     def __init__(self, key, on_payload):
--- a/packages/daemon/sesamespindle/daemon/driver.py
+++ b/packages/daemon/sesamespindle/daemon/driver.py
@@ -91,6 +91,7 @@
         return len(self.exchange_by_request)
 
     def _dispatch(self, command):
+        """Record a command in the event log, and pass it to its handler or request."""
         match command:
             case commands.Note():
                 self.event_log.add(command.kind, command.subject, command.detail)
--- a/packages/daemon/sesamespindle/daemon/measures.py
+++ b/packages/daemon/sesamespindle/daemon/measures.py
@@ -8,7 +8,7 @@
 
 
 class Measures:
-    """The metrics of a daemon."""
+    """Metrics of a daemon that are served on request, unlike `metrics.Metrics`."""
 
     def __init__(self):
         self._refused_by_code = collections.Counter()
--- a/packages/daemon/sesamespindle/daemon/peering.py
+++ b/packages/daemon/sesamespindle/daemon/peering.py
@@ -23,6 +23,7 @@
 from sesamespindle.wire import peers_pb2, peers_pb2_grpc, service
 
 _log = logs.part("peers")
+# Timeouts of calls to peers, in seconds: in general, and for fetching declarations.
 _RPC_SECONDS = 1.0
 _FETCH_SECONDS = 5.0
 # An answer that arrives later than this after its gossip round started is dropped. The
@@ -31,10 +32,10 @@
 _KEY_METADATA = "peer-key"
 _OPTIONS = (
     ("grpc.enable_http_proxy", 0),
-    # Only one process may listen at a peer address. When the lease holder restarts, it
-    # relies on this to know that the process that listened here before is gone, and
-    # takes its lease again at once. By default the library would let several processes
-    # share the port.
+    # Only one process may listen at a peer address. A lease holder that restarts
+    # relies on this: as its address was free, its earlier process is gone, and it
+    # takes over its own lease at once. By default the library would let several
+    # processes share the port.
     ("grpc.so_reuseport", 0),
     # Reconnect to a peer within a second after it was unreachable. The library's
     # default backoff grows to minutes.
@@ -97,6 +98,7 @@
         self._calls = None
         self._call_timeout = None
         self._channel_by_address = {}
+        # Callbacks that receive the reply command of an exchange, by exchange id.
         self._deliver_by_exchange = {}
         self._datagrams = datagrams.Datagrams(key, self._receive_datagram)
         # Start times of the gossip rounds that have no answer yet, oldest first.
@@ -354,6 +356,7 @@
             self._receive_answer(f"{host}:{port}", datagram.message, started_at)
 
     def _answer_round(self, datagram, peer):
+        """Answer a peer's round; the decision logic replies before `feed` returns."""
         message = peermessages.gossip_from_wire(datagram.message, self._now())
         exchange_id = str(next(self._exchange_ids))
         replied = []
@@ -448,13 +451,14 @@
             await self._declarations.unpack(answer.head, answer.documents)
 
     async def _call(self, address, method, request, seconds=_RPC_SECONDS):
+        """Call a method of a peer; return its answer, or None if the call failed."""
         stub = peers_pb2_grpc.PeersStub(self._channel(address))
         try:
             answer = await getattr(stub, method)(
                 request, timeout=seconds, metadata=self._metadata
             )
         except grpc.RpcError as error:
-            _log.debug("{} at {} failed: {}.", method, address, error.code())
+            _log.debug("Call {} to peer {} failed: {}.", method, address, error.code())
             if error.code() is grpc.StatusCode.DEADLINE_EXCEEDED:
                 await self._drop_channel(address)
             return None
--- a/packages/daemon/sesamespindle/daemon/watchers.py
+++ b/packages/daemon/sesamespindle/daemon/watchers.py
@@ -26,8 +26,8 @@
 class DeclarationsWatcher:
     """Reads the declarations and adopts every higher revision of them.
 
-    A revision is stored as a head, which lists the digests of its documents, and as
-    one document for each entity. Revisions come from the platform or from peers.
+    A revision is stored as one document for each declared object, and a head that
+    lists the digests of all documents. Revisions come from the platform or from peers.
 
     Parameters
     ----------
@@ -236,6 +236,7 @@
 
     Each round reads engines that run requests of this entry, up to a limit, and a few
     of the others in turn, so that the cost does not grow with the number of engines.
+    An entry without running requests reads only one engine in a round.
 
     Parameters
     ----------
@@ -262,6 +263,7 @@
             await asyncio.sleep(self._interval)
 
     def _choose(self):
+        """Return the target rows of the engines to read in this round."""
         targets = self._driver.core.state.targets
         engines = [
             row for row in targets.where("kind", declared.TargetKind.ENGINE) if row.url
