--- a/packages/daemon/sesamespindle/daemon/assembly.py
+++ b/packages/daemon/sesamespindle/daemon/assembly.py
@@ -1,4 +1,4 @@
-"""Putting a daemon's parts together, and taking them down again."""
+"""Start and shutdown of a daemon and of the parts that it consists of."""
 
 import asyncio
 import contextlib
@@ -28,23 +28,32 @@
 from sesamespindle.wire import clock, engine, platform
 
 _log = logs.part("daemon")
-# A leaving daemon serves on until no request came for this long, so that
-# callers who were given its address a moment ago are still answered.
-_QUIET_SECONDS = 1.5
+# A leaving daemon keeps serving until it has been idle for this long, so that callers
+# who received its address just before it left are still answered.
+_IDLE_SECONDS = 1.5
 _POLL_SECONDS = 0.05
-# How long the last round of gossip may take.
-_FAREWELL_SECONDS = 0.3
+# Pause between the last gossip messages, which announce that this daemon has left, and
+# the closing of its ports.
+_LAST_GOSSIP_SECONDS = 0.3
+# The number of connections that may wait to be accepted, for each port.
 _BACKLOG = 1024
 
 
 @dataclasses.dataclass
 class Parts:
-    """The parts of one daemon that its fronts use.
+    """The parts of a daemon that its HTTP servers use.
 
     Attributes
     ----------
+    settings : sesamespindle.declare.settings.Settings
+        The settings of the host.
+    stop_asked : asyncio.Event
+        Set to make the daemon leave.
+    leaving : bool
+        Whether the daemon is shutting down.
     in_hand : int
-        Callers' requests that the front has not answered yet, whoever runs them.
+        The number of callers' requests that the front has not answered yet, including
+        calls that were forwarded to a peer.
     """
 
     settings: object
@@ -62,16 +71,19 @@
 
 
 class Daemon(aiomisc.Service):
-    """One entry host's daemon, from its first port to its last answer.
+    """The daemon of an entry host, as a service that starts and stops.
 
     Parameters
     ----------
     settings : sesamespindle.declare.settings.Settings
-        What the daemon was told at its start.
+        The settings of the host.
     announce : callable
-        Gets the `events.Host` of this daemon once it listens.
+        Called with the `events.Host` of this daemon once it listens.
     stop_asked : asyncio.Event
-        Set when the daemon is to leave; more than once does no harm.
+        Set to make the daemon leave. The daemon itself sets it when an operator
+        drains it or when one of its background tasks fails.
+    **kwargs
+        Passed on to `aiomisc.Service`.
     """
 
     def __init__(self, settings, announce, stop_asked, **kwargs):
@@ -81,11 +93,19 @@
         self._stop_asked = stop_asked
         self._clock = clock.SystemClock()
         self._stack = contextlib.AsyncExitStack()
-        self._watching = []
+        self._tasks = []
         self._parts = None
 
     async def start(self):
-        """Listen, put the parts together and begin to watch."""
+        """Open the ports, create the parts and start the background tasks.
+
+        Raises
+        ------
+        OSError
+            If a port can't be bound.
+        RuntimeError
+            If the peer port can't be bound.
+        """
         settings = self._settings
         caller_socket = _listen(settings.listen)
         admin_socket = _listen(settings.admin)
@@ -107,18 +127,18 @@
         )
         self._parts = await self._assemble(me, session, client, server, peer_port)
         await self._serve(caller_socket, admin_socket)
-        self._begin_watching(client)
+        self._start_tasks(client)
         self._announce(me)
         _log.info("Listens at {}.", me.url)
 
     async def stop(self, exception=None):
-        """Leave: tell peers, finish all in flight, then close."""
+        """Leave: announce it to peers, finish requests in flight, then close."""
         await self._finish_in_flight()
         self._parts.driver.feed(events.HasLeft())
-        await asyncio.sleep(_FAREWELL_SECONDS)
-        for task in self._watching:
+        await asyncio.sleep(_LAST_GOSSIP_SECONDS)
+        for task in self._tasks:
             task.cancel()
-        await asyncio.gather(*self._watching, return_exceptions=True)
+        await asyncio.gather(*self._tasks, return_exceptions=True)
         await self._stack.aclose()
         _log.info("Has left.")
 
@@ -127,49 +147,51 @@
         log = eventlog.EventLog(
             me.name, eventlog.HybridClock(self._clock), settings.event_log_size
         )
-        decide = core.Core(
+        decision_logic = core.Core(
             me,
             _policy(settings),
             me.incarnation,
             settings.seeds,
             settings.token_key.get_secret_value(),
         )
-        driving = driver.Driver(decide, self._clock, log)
+        core_driver = driver.Driver(decision_logic, self._clock, log)
         keyring = auth.Keyring()
-        declarations = watchers.DeclarationsWatcher(driving, keyring, client, settings)
+        declarations = watchers.DeclarationsWatcher(
+            core_driver, keyring, client, settings
+        )
         signer = tokens.Signer(settings.token_key.get_secret_value())
         timeout = settings.policy.call_timeout
-        await self._stack.enter_async_context(lifeprobe.LifeProbe(driving))
+        await self._stack.enter_async_context(lifeprobe.LifeProbe(core_driver))
         calls = await self._stack.enter_async_context(
-            call_runner.CallRunner(driving, client, timeout)
+            call_runner.CallRunner(core_driver, client, timeout)
         )
         peers = await self._stack.enter_async_context(
             peering.Peering(
-                driving, declarations, server, settings.admin_key.get_secret_value()
+                core_driver, declarations, server, settings.admin_key.get_secret_value()
             )
         )
-        peers.serve_calls(calls, timeout)
+        peers.set_call_runner(calls, timeout)
         await peers.start(str(settings.peers.host), peer_port)
         return Parts(
             settings,
-            driving,
+            core_driver,
             keyring,
             signer,
             metrics.Metrics(settings.statsd),
             engine.EngineClient(session, settings.engine_silence),
             declarations,
             calls,
-            tickets.Tickets(driving, calls, signer, peers, timeout),
+            tickets.Tickets(core_driver, calls, signer, peers, timeout),
             self._stop_asked,
         )
 
     async def _serve(self, caller_socket, admin_socket):
         limits = self._settings.limits
-        fronts = (
+        servers = (
             (front.Front(self._parts).application(), caller_socket),
             (admin.Admin(self._parts).application(), admin_socket),
         )
-        for application, listening in fronts:
+        for application, listening_socket in servers:
             runner = aiohttp.web.AppRunner(
                 application,
                 handler_cancellation=True,
@@ -180,55 +202,64 @@
             )
             await runner.setup()
             self._stack.push_async_callback(runner.cleanup)
-            await aiohttp.web.SockSite(runner, listening, backlog=_BACKLOG).start()
+            await aiohttp.web.SockSite(
+                runner, listening_socket, backlog=_BACKLOG
+            ).start()
 
-    def _begin_watching(self, client):
+    def _start_tasks(self, client):
         parts = self._parts
-        runs = [
+        coroutines = [
             parts.declarations.run(),
             watchers.HostsWatcher(parts.driver, client, self._settings).run(),
             watchers.LoadWatcher(parts.driver, parts.engines, self._settings).run(),
             self._tick(),
         ]
-        self._watching = [asyncio.create_task(run) for run in runs]
-        for task in self._watching:
+        self._tasks = [asyncio.create_task(item) for item in coroutines]
+        for task in self._tasks:
             task.add_done_callback(self._leave_if_failed)
 
     def _leave_if_failed(self, task):
-        """Leave when a part fails that the daemon can't do without.
+        """Make the daemon leave if one of its background tasks failed.
 
-        Guards against a daemon that still answers callers but has stopped to
-        renew its slices or its membership: it would be trusted and be wrong.
+        Guards against a daemon that still answers callers but no longer renews its
+        slices or its membership: callers and peers would rely on it although its
+        state is out of date. Once it leaves, they use other entries.
         """
         if task.cancelled() or task.exception() is None:
             return
-        _log.opt(exception=task.exception()).error("A part failed; the daemon leaves.")
+        _log.opt(exception=task.exception()).error(
+            "A background task failed; the daemon leaves."
+        )
         self._stop_asked.set()
 
     async def _tick(self):
+        """Make the decision logic do its periodic work, until cancelled."""
         while True:
             self._parts.driver.feed(events.Tick())
             self._parts.metrics.in_flight(self._parts.driver.in_flight)
             await asyncio.sleep(self._settings.tick_seconds)
 
     async def _finish_in_flight(self):
-        """Serve what still comes, until it has been quiet for a while.
+        """Keep serving until the daemon is idle or its grace time is over.
+
+        It is idle when for `_IDLE_SECONDS` no caller has waited for an answer, no call
+        has run, and no claim (the idempotency record of a call) has been written.
 
-        Guards against cutting callers off who were given this address just
-        before: they keep it for some time, so the ports stay open, while
-        other entries already leave this one out of what they tell callers.
+        Guards against cutting off callers who received this daemon's address just
+        before. They keep it for some time, so the ports stay open for them. New
+        callers don't come: other entries no longer list this one.
         """
         parts = self._parts
         parts.leaving = True
         ends_at = parts.driver.clock.now() + self._settings.shutdown_grace
         parts.driver.feed(events.LeaveAsked(ends_at))
-        _log.info("Leaves, with {} requests in hand.", parts.in_hand)
-        quiet = 0.0
-        while quiet < _QUIET_SECONDS and parts.driver.clock.now() < ends_at:
+        _log.info("Leaving with {} requests in flight.", parts.in_hand)
+        idle_seconds = 0.0
+        while idle_seconds < _IDLE_SECONDS and parts.driver.clock.now() < ends_at:
             await asyncio.sleep(_POLL_SECONDS)
-            quiet += _POLL_SECONDS
+            idle_seconds += _POLL_SECONDS
             if parts.in_hand or parts.calls.unsettled:
-                quiet = 0.0
+                idle_seconds = 0.0
 
 
 def _policy(settings):
@@ -250,6 +281,6 @@
     )
 
 
-def _url(listening):
-    host, port = listening.getsockname()[:2]
+def _url(listening_socket):
+    host, port = listening_socket.getsockname()[:2]
     return f"http://{host}:{port}"
--- a/packages/daemon/sesamespindle/daemon/lifeprobe.py
+++ b/packages/daemon/sesamespindle/daemon/lifeprobe.py
@@ -1,4 +1,4 @@
-"""Finding out whether a target still accepts connections."""
+"""Probes that check whether a target still accepts connections."""
 
 import asyncio
 
@@ -9,18 +9,20 @@
 
 
 class LifeProbe:
-    """Carries out `crashes.ProbeLife`; a context manager that ends what is under way.
+    """Carries out `crashes.ProbeLife` commands.
+
+    Used as a context manager, it cancels the probes in flight at the end.
 
     Parameters
     ----------
     driver : sesamespindle.daemon.driver.Driver
-        Gets what is found out.
+        Receives `crashes.LifeRefuses` for targets that refuse the connection.
     """
 
     def __init__(self, driver):
         self._driver = driver
         self._tasks = set()
-        driver.on(crashes.ProbeLife, self._begin)
+        driver.on(crashes.ProbeLife, self._start_probe)
 
     async def __aenter__(self):
         return self
@@ -30,25 +32,28 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def _begin(self, command):
+    def _start_probe(self, command):
         task = asyncio.create_task(self._probe(command))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def _probe(self, command):
-        """Connect once, and tell if the connection is refused.
+        """Connect once, and report if the connection is refused.
 
-        A connection that is made tells nothing, as the next life may have the address
-        already; nor does silence, as the link may be cut.
+        Only a refusal shows that this incarnation of the target has ended. If the
+        connection is made, the target's next incarnation may already listen at the
+        address; if there is no answer, the network may be interrupted.
         """
-        place = command.address.rpartition("//")[2]
-        host, _, port = place.rpartition(":")
+        authority = command.address.rpartition("//")[2]
+        host, _, port = authority.rpartition(":")
         try:
             async with asyncio.timeout(connections.CONNECT_SECONDS):
                 _, writer = await asyncio.open_connection(host, int(port))
         except ConnectionRefusedError:
             self._driver.feed(crashes.LifeRefuses(command.life))
         except (OSError, TimeoutError) as error:
-            _log.debug("Target {} can't be probed. {!r}", command.life.name, error)
+            _log.debug(
+                "Inconclusive probe of target {}. {!r}", command.life.name, error
+            )
         else:
             writer.close()
--- a/packages/daemon/sesamespindle/daemon/logs.py
+++ b/packages/daemon/sesamespindle/daemon/logs.py
@@ -1,4 +1,4 @@
-"""Log lines by loguru: a fixed prefix for each part, text or JSON."""
+"""Logging with loguru, as text or JSON, with a fixed prefix for each part."""
 
 import collections
 import json
@@ -11,7 +11,15 @@
 
 
 def set_up(log_settings, daemon):
-    """Send log lines to standard error in the form that the settings ask for."""
+    """Log to standard error in the format of the settings.
+
+    Parameters
+    ----------
+    log_settings : sesamespindle.declare.settings.Log
+        The format and level.
+    daemon : str
+        The daemon's name.
+    """
     loguru.logger.remove()
     loguru.logger.configure(extra={"part": "daemon", "request": "-", "host": daemon})
     loguru.logger.add(
@@ -25,59 +33,76 @@
 
 
 class BoundedLines:
-    """Writes lines to a file descriptor without ever waiting for it.
+    """A bounded buffer of log lines that are written without blocking.
 
-    Guards against a reader of the logs that stops reading: the lines beyond
-    the bound are dropped and counted, and the count is written once there is
-    room again.
+    Guards against a daemon that hangs because the reader of its log has stopped: a
+    write to the full pipe would block. Here lines wait in the buffer instead. Lines
+    beyond its size are dropped and counted, and the count is logged once there is
+    space again.
 
     Parameters
     ----------
     descriptor : int
-        Where lines go; it is set not to block.
-    most : int
-        Lines that may wait.
+        The file descriptor that lines are written to; it is set to non-blocking.
+    max_lines : int
+        The number of lines that the buffer holds.
+
+    Attributes
+    ----------
+    dropped : int
+        The number of dropped lines that hasn't been logged yet.
     """
 
-    def __init__(self, descriptor, most=2000):
+    def __init__(self, descriptor, max_lines=2000):
         self._descriptor = descriptor
         self._lines = collections.deque()
-        self._most = most
-        self._rest = b""
+        self._max_lines = max_lines
+        self._unwritten = b""
         self.dropped = 0
         os.set_blocking(descriptor, False)
 
     def add(self, line):
-        """Take a line in, or count it as dropped."""
-        if len(self._lines) >= self._most:
+        """Add a line to the buffer, or count it as dropped if the buffer is full."""
+        if len(self._lines) >= self._max_lines:
             self.dropped += 1
             return
         self._lines.append(line)
 
     def flush(self):
-        """Write as much as the descriptor takes now."""
-        if self.dropped and len(self._lines) < self._most:
-            lost = {"part": "logs", "message": f"{self.dropped} lines were dropped."}
-            self._lines.append(json.dumps(lost))
+        """Write as many lines as the descriptor accepts without blocking."""
+        if self.dropped and len(self._lines) < self._max_lines:
+            notice = {"part": "logs", "message": f"{self.dropped} lines were dropped."}
+            self._lines.append(json.dumps(notice))
             self.dropped = 0
-        while self._rest or self._lines:
-            if not self._rest:
-                self._rest = (self._lines.popleft() + "\n").encode()
+        while self._unwritten or self._lines:
+            if not self._unwritten:
+                self._unwritten = (self._lines.popleft() + "\n").encode()
             try:
-                written = os.write(self._descriptor, self._rest)
+                written = os.write(self._descriptor, self._unwritten)
             except BlockingIOError:
                 return
-            self._rest = self._rest[written:]
+            self._unwritten = self._unwritten[written:]
 
 
 def set_up_lines(host, level="INFO"):
-    """Send log lines as JSON to standard output; return the `BoundedLines`.
+    """Log JSON lines to standard output, without blocking.
 
-    Whoever calls this has `BoundedLines.flush` called again and again.
+    Parameters
+    ----------
+    host : str
+        The host's name, for the lines.
+    level : str
+        The lowest level that is logged.
+
+    Returns
+    -------
+    lines : BoundedLines
+        The buffer. The caller must call its `flush` regularly; lines are written only
+        then.
     """
     lines = BoundedLines(sys.stdout.fileno())
 
-    def take(message):
+    def add_line(message):
         record = message.record
         line = {
             "time": record["time"].isoformat(timespec="milliseconds"),
@@ -93,10 +118,16 @@
 
     loguru.logger.remove()
     loguru.logger.configure(extra={"part": "daemon", "request": "-", "host": host})
-    loguru.logger.add(take, level=level, format="{message}", catch=False)
+    loguru.logger.add(add_line, level=level, format="{message}", catch=False)
     return lines
 
 
 def part(name):
-    """Return the logger of one part of the daemon."""
+    """Return the logger of a part of the daemon.
+
+    Parameters
+    ----------
+    name : str
+        The part's name, which prefixes its lines.
+    """
     return loguru.logger.bind(part=name)
--- a/packages/daemon/sesamespindle/daemon/peermessages.py
+++ b/packages/daemon/sesamespindle/daemon/peermessages.py
@@ -1,4 +1,8 @@
-"""Turning the decision logic's peer messages into protobuf and back."""
+"""Conversion of the decision logic's peer messages to protobuf and back.
+
+Clocks of hosts aren't compared. Messages carry ages, in seconds at the time of sending,
+and the receiver converts them to times of its own clock.
+"""
 
 import dataclasses
 import datetime
@@ -10,7 +14,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Known:
-    """What a daemon has of the platform, so that peers need not send it."""
+    """What a daemon already has, so that a peer sends only the rest.
+
+    Attributes
+    ----------
+    revision : int
+        The active revision of the declarations.
+    digests : list of str
+        What it has, in the form that the peer's `pack` expects: the digests of its
+        documents for `watchers.DeclarationsWatcher`.
+    """
 
     revision: int
     digests: list
@@ -18,7 +31,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Packed:
-    """What a daemon tells a peer of the platform."""
+    """What a daemon sends to a peer that fetches declarations from it.
+
+    Attributes
+    ----------
+    revision : int
+        The active revision of the declarations.
+    head : bytes
+        JSON in the form that the peer's `unpack` expects: for
+        `watchers.DeclarationsWatcher` the head, which lists the documents of the
+        revision.
+    documents : dict of str to bytes
+        The documents that the peer doesn't have, as JSON by digest.
+    """
 
     revision: int
     head: bytes
@@ -26,7 +51,21 @@
 
 
 def gossip_to_wire(message, stamp, now):
-    """Return the protobuf form of an `gossip.GossipMessage`."""
+    """Return the protobuf form of a gossip message.
+
+    Parameters
+    ----------
+    message : gossip.GossipMessage
+        The message.
+    stamp : int
+        The sender's hybrid logical clock; see `eventlog.HybridClock`.
+    now : datetime.datetime
+        The time of sending, which ages count back from.
+
+    Returns
+    -------
+    message : peers_pb2.GossipMessage
+    """
     return peers_pb2.GossipMessage(
         sender=message.sender,
         data_centre=message.data_centre,
@@ -63,7 +102,7 @@
             )
             for item in message.target_versions
         ],
-        lease_release=_release_to_wire(message.lease_release, now),
+        lease_release=_lease_release_to_wire(message.lease_release, now),
         pending=[
             peers_pb2.PendingWork(
                 target=item.life.name,
@@ -75,24 +114,31 @@
         ],
         brief=message.brief,
         named=[_naming_to_wire(item, now) for item in message.named],
-        store_words=[_word_to_wire(item, now) for item in message.store_words],
-        store_news=[_news_to_wire(item) for item in message.store_news],
+        store_words=[_store_word_to_wire(item, now) for item in message.store_words],
+        store_news=[_store_news_to_wire(item) for item in message.store_news],
         **crashmessages.to_wire(message.crash_news, now),
     )
 
 
 def gossip_from_wire(message, now, sent_after=None):
-    """Return the `gossip.GossipMessage` of a protobuf message.
+    """Return the gossip message of a protobuf message.
 
     Parameters
     ----------
+    message : peers_pb2.GossipMessage
+        The protobuf message.
     now : datetime.datetime
-        When it arrived. What is told in durations and may rather seem young than
-        old counts from here.
+        When the message is processed. The age of a lease release counts back from
+        here: it is safe if the holder's last action seems later than it was.
     sent_after : datetime.datetime, optional
-        A time after which it was sent, where one is known. Versions count from
-        here: an answer that lay here while this process was paused would have them
-        named later than they were.
+        For an answer, when its gossip round started; the answer was sent after that.
+        All other ages count back from here if it is given, otherwise from `now`.
+        If this process is paused, `now` can be much later than the sending, and
+        version announcements would seem later than they were.
+
+    Returns
+    -------
+    message : gossip.GossipMessage
     """
     return gossip.GossipMessage(
         message.sender,
@@ -122,7 +168,7 @@
             )
             for item in message.target_versions
         ),
-        _release_from_wire(message, now),
+        _lease_release_from_wire(message, now),
         tuple(
             gossip.PendingWork(
                 lives.Life(item.target, item.born), item.tokens, item.held_tokens
@@ -131,21 +177,24 @@
         ),
         message.brief,
         tuple(_naming_from_wire(item, sent_after or now) for item in message.named),
-        tuple(_word_from_wire(item, sent_after or now) for item in message.store_words),
-        tuple(_news_from_wire(item) for item in message.store_news),
+        tuple(
+            _store_word_from_wire(item, sent_after or now)
+            for item in message.store_words
+        ),
+        tuple(_store_news_from_wire(item) for item in message.store_news),
         crashmessages.from_wire(message, sent_after or now),
     )
 
 
-def _release_to_wire(release, now):
-    """Return how long ago the last act was; hosts' clocks aren't compared."""
+def _lease_release_to_wire(release, now):
+    """Return the release with the age of the holder's last action; None for None."""
     if release is None:
         return None
-    quiet_for = (now - release.last_act_at).total_seconds()
-    return peers_pb2.LeaseRelease(epoch=release.epoch, quiet_seconds=quiet_for)
+    quiet_seconds = (now - release.last_act_at).total_seconds()
+    return peers_pb2.LeaseRelease(epoch=release.epoch, quiet_seconds=quiet_seconds)
 
 
-def _release_from_wire(message, now):
+def _lease_release_from_wire(message, now):
     if not message.HasField("lease_release"):
         return None
     quiet_for = datetime.timedelta(seconds=message.lease_release.quiet_seconds)
@@ -153,7 +202,7 @@
 
 
 def _naming_to_wire(naming, now):
-    """Return how long ago a version was named; hosts' clocks aren't compared."""
+    """Return the announcement of a weight version, with its age."""
     return peers_pb2.Naming(
         model=naming.model,
         version=naming.version,
@@ -173,22 +222,25 @@
     )
 
 
-def _word_to_wire(word, now):
-    """Return how long ago a store was known to answer, and the engines' clock."""
+def _store_word_to_wire(store_word, now):
+    """Return the known position of a KV store, with the age of its last check.
+
+    The engines' clock, if known, is sent as its reading in milliseconds at `now`.
+    """
     clock_ms = None
-    if word.clock_lead is not None:
-        clock_ms = now.timestamp() * 1000.0 + word.clock_lead
+    if store_word.clock_lead is not None:
+        clock_ms = now.timestamp() * 1000.0 + store_word.clock_lead
     return peers_pb2.StoreWord(
-        store=word.store,
-        boot=word.boot,
-        position=word.position,
-        seconds_ago=(now - word.told_at).total_seconds(),
-        is_silent=word.is_silent,
+        store=store_word.store,
+        boot=store_word.boot,
+        position=store_word.position,
+        seconds_ago=(now - store_word.told_at).total_seconds(),
+        is_silent=store_word.is_silent,
         clock_ms=clock_ms,
     )
 
 
-def _word_from_wire(message, sent_at):
+def _store_word_from_wire(message, sent_at):
     clock_lead = None
     if message.HasField("clock_ms"):
         clock_lead = message.clock_ms - sent_at.timestamp() * 1000.0
@@ -202,7 +254,7 @@
     )
 
 
-def _news_to_wire(news):
+def _store_news_to_wire(news):
     return peers_pb2.StoreNews(
         store=news.store,
         boot=news.boot,
@@ -215,7 +267,7 @@
     )
 
 
-def _news_from_wire(message):
+def _store_news_from_wire(message):
     rows = zip(message.salts, message.part_ids, message.tokens, strict=True)
     return gossip.StoreNews(
         message.store,
@@ -228,7 +280,7 @@
 
 
 def asks_to_wire(asks):
-    """Return the protobuf forms of `events.SliceAsk` records."""
+    """Return the protobuf forms of `events.SliceAsk` records, as a list."""
     return [
         peers_pb2.SliceAsk(
             account=ask.account,
@@ -243,7 +295,7 @@
 
 
 def asks_from_wire(asks):
-    """Return the `events.SliceAsk` records of protobuf messages."""
+    """Return the `events.SliceAsk` records of protobuf messages, as a tuple."""
     return tuple(
         events.SliceAsk(
             ask.account,
@@ -258,7 +310,7 @@
 
 
 def grants_to_wire(grants):
-    """Return the protobuf forms of `events.SliceGrant` records."""
+    """Return the protobuf forms of `events.SliceGrant` records, as a list."""
     return [
         peers_pb2.SliceGrant(
             account=grant.account,
@@ -271,7 +323,7 @@
 
 
 def grants_from_wire(grants):
-    """Return the `events.SliceGrant` records of protobuf messages."""
+    """Return the `events.SliceGrant` records of protobuf messages, as a tuple."""
     return tuple(
         events.SliceGrant(
             grant.account, events.Resource(grant.resource), grant.slots, grant.grant
--- a/tests/daemon/test_assembly.py
+++ b/tests/daemon/test_assembly.py
@@ -1,4 +1,4 @@
-"""What a daemon that is told to leave still owes its callers."""
+"""Graceful shutdown: what a daemon that leaves still does for its callers."""
 
 import asyncio
 import signal
@@ -8,8 +8,8 @@
 from sesamespindle.lab import caller, fleet
 
 SERVICE = "bookings-1"
-# Longer than a leaving entry without work stays: 1.5 s of quiet, 0.3 s of farewell
-# and the second that the HTTP library gives its handlers.
+# Longer than an idle entry takes to leave: 1.5 s until it counts as idle, 0.3 s for its
+# last gossip and the second that the HTTP library gives its handlers.
 CALL_SECONDS = 4.0
 
 
@@ -19,7 +19,17 @@
 
 
 class Booking:
-    """A call that the service takes `CALL_SECONDS` for."""
+    """A call that books something at a service.
+
+    Parameters
+    ----------
+    running : fleet.Fleet
+        The fleet that serves the call.
+    reference : str
+        Identifies the booking, so that its runs can be counted.
+    key : str
+        The idempotency key or ticket.
+    """
 
     def __init__(self, running, reference, key=""):
         self.running = running
@@ -28,7 +38,7 @@
         self.caller = caller.Caller(running.session, fleet.demo_key("bookings-desk"))
 
     async def mint(self, entry):
-        """Take a ticket of an entry as the key."""
+        """Get a ticket from an entry and use it as the key."""
         self.key = await self.caller.ticket(self.running.url(entry))
 
     async def send(self, entry):
@@ -44,20 +54,19 @@
         counts = await self.running.counts(SERVICE)
         return counts["runs"].get(self.reference, 0)
 
-    async def until_run(self):
+    async def wait_until_run(self):
         async def ran():
             return await self.runs() == 1
 
         await self.running.until(ran)
 
 
-def test_a_call_passed_on_to_a_peer_is_answered_before_the_entry_ends(running, go):
-    """A call under another entry's ticket, at an entry that is told to leave.
+def test_a_leaving_entry_waits_for_a_call_that_it_forwarded_to_a_peer(running, go):
+    """An entry that leaves drops the answer of a call that it has forwarded to a peer.
 
-    A customer books under a ticket; the entry it comes to passes it on to the
-    one that minted the ticket, and is replaced meanwhile. It counts only what
-    it runs itself, believes that nothing is left to do, and ends: the
-    connection breaks, though the booking is made.
+    The call's ticket was minted by the peer, so the entry forwards the call and then
+    leaves. If it counts only calls that it runs itself, it ends at once: the caller's
+    connection breaks although the booking is made.
     """
 
     async def run():
@@ -66,7 +75,7 @@
         booking = Booking(running, "passed-on")
         await booking.mint("entry-2")
         sending = asyncio.create_task(booking.send("entry-1"))
-        await booking.until_run()
+        await booking.wait_until_run()
         leaving = running.process_by_name["entry-1"]
         leaving.send_signal(signal.SIGTERM)
         return await sending, await leaving.wait(), await booking.runs()
@@ -76,19 +85,18 @@
     assert (code, runs) == (0, 1)
 
 
-def test_a_leaving_entry_takes_no_call_that_may_outlast_it(running, go):
-    """Calls that come to an entry that is told to leave while it still works.
+def test_a_leaving_entry_refuses_calls_that_may_outlast_it(running, go):
+    """An entry that leaves accepts calls that don't finish within its grace time.
 
-    A customer reads a long answer, so the entry stays until its time is up.
-    Meanwhile others book there, some by tickets that are passed on to it, or by
-    it. The services are slow: when the entry's time is up the bookings are cut
-    off, and nobody knows which of them were made.
+    The entry still waits for the answer of an earlier call. New calls arrive directly,
+    forwarded by a peer, and to be forwarded to a peer. The service is slow, so when the
+    grace time ends these calls would be cut off, and whether they ran is unknown.
     """
 
     async def run():
         await running.start_entry("entry-4", "kgl-1", shutdown_grace="6 s")
         await running.fault(SERVICE, delay=CALL_SECONDS)
-        under_way, direct, passed_here, passed_on = (
+        in_flight, direct, forwarded_to_it, forwarded_by_it = (
             Booking(running, reference)
             for reference in ("first", "direct", "to-it", "by-it")
         )
@@ -106,22 +114,22 @@
 
         await running.wait_ready(["entry-4"])
         await running.until(is_known)
-        await passed_here.mint("entry-4")
-        await passed_on.mint("entry-2")
-        sending = asyncio.create_task(under_way.send("entry-4"))
-        await under_way.until_run()
+        await forwarded_to_it.mint("entry-4")
+        await forwarded_by_it.mint("entry-2")
+        sending = asyncio.create_task(in_flight.send("entry-4"))
+        await in_flight.wait_until_run()
         leaving.send_signal(signal.SIGTERM)
         await running.until(is_leaving)
         await running.fault(SERVICE, hold=True)
         replies = await asyncio.gather(
             direct.send("entry-4"),
-            passed_here.send("entry-2"),
-            passed_on.send("entry-4"),
+            forwarded_to_it.send("entry-2"),
+            forwarded_by_it.send("entry-4"),
         )
         first = await sending
         code = await leaving.wait()
         await running.fault(SERVICE, hold=False)
-        late = (direct, passed_here, passed_on)
+        late = (direct, forwarded_to_it, forwarded_by_it)
         return first, replies, [await booking.runs() for booking in late], code
 
     first, replies, runs, code = go(run())
@@ -133,28 +141,27 @@
     assert runs == [0, 0, 0]
 
 
-def test_callers_of_streams_leave_the_connections_of_a_leaving_entry(running, go):
-    """Callers with kept connections stay at a leaving entry until it is gone.
+def test_a_leaving_entry_closes_connections_after_streamed_answers(running, go):
+    """A caller keeps using its connection to a leaving entry until the process ends.
 
-    Whole answers and refusals ask them to close the connection, streamed ones
-    didn't: nine streams went over one connection, the last eight of them begun
-    after SIGTERM, and the next request met the end of the process.
+    If a streamed answer doesn't tell the caller to close the connection, as other
+    answers and refusals do, its next request fails when the process ends.
     """
 
     async def run():
         await running.start_entry("entry-5", "kgl-1")
         await running.wait_ready(["entry-5"])
-        under_way = Booking(running, "holds-it")
+        in_flight = Booking(running, "holds-it")
         leaving = running.process_by_name["entry-5"]
 
         async def is_leaving():
-            reply = await under_way.caller.get(f"{running.url('entry-5')}/readyz")
+            reply = await in_flight.caller.get(f"{running.url('entry-5')}/readyz")
             return reply.value["leaving"]
 
         before = await stream_headers(running, "entry-5")
         await running.fault(SERVICE, hold=True)
-        sending = asyncio.create_task(under_way.send("entry-5"))
-        await under_way.until_run()
+        sending = asyncio.create_task(in_flight.send("entry-5"))
+        await in_flight.wait_until_run()
         leaving.send_signal(signal.SIGTERM)
         await running.until(is_leaving)
         after = await stream_headers(running, "entry-5")
