--- a/tests/platform/test_storefeed.py
+++ b/tests/platform/test_storefeed.py
@@ -1,4 +1,4 @@
-"""How a daemon follows the KV stores, and shares their places with its peers."""
+"""Following KV stores that hold only a limited number of requests at once."""
 
 import asyncio
 import datetime
@@ -13,18 +13,18 @@
 
 
 @pytest.mark.parametrize("hosts", [1, 12])
-def test_hosts_that_fit_ask_as_often_as_they_like(hosts):
+def test_no_more_hosts_than_places_follow_at_full_pace(hosts):
     pace = storefeed.choose_pace(hosts, places=12)
     assert pace == storefeed.Pace(wait_ms=1000, pause_seconds=0.2)
 
 
 @pytest.mark.parametrize("hosts", [13, 24, 80, 119])
 @pytest.mark.parametrize("answer_seconds", [0.02, 1.0])
-def test_a_crowd_of_hosts_stays_within_a_stores_places(hosts, answer_seconds):
-    """Eighty hosts follow a store that answers twelve at once.
+def test_requests_of_many_hosts_stay_within_a_stores_places(hosts, answer_seconds):
+    """Guards against a store that is busy refusing requests.
 
-    Those that find no place ask again at once, find none again, and the store
-    is busy with refusing; each question is charged as a probe.
+    Eighty hosts follow a store that holds twelve requests at once. If refused hosts ask
+    again at once, they are refused again, and each request is charged as a probe.
     """
     places = 12
     pace = storefeed.choose_pace(hosts, places)
@@ -39,12 +39,12 @@
     pauses = [storefeed.refused_pause(count, source) for count in range(1, 8)]
     assert pauses[0] < 1.0
     assert pauses == sorted(pauses)
-    # A store that isn't heard of for 2.5 s would count as gone.
+    # A store that hasn't answered for 2.5 s would count as unavailable.
     assert pauses[-1] < 2.0
 
 
 class _Core:
-    """Takes events in and commands nothing; alone, it follows all stores."""
+    """Decision logic that records events; as the only host it follows all stores."""
 
     def __init__(self, rows):
         self.state = world.World(events.Host("entry-1", "entry", "dc-1", "u"))
@@ -61,7 +61,7 @@
 
 
 class _Stores:
-    """Answers lists at once, and notes what it is asked."""
+    """Stores that answer lists at once, and record the requests."""
 
     def __init__(self):
         self.asked = []
@@ -76,11 +76,11 @@
         await asyncio.Event().wait()
 
 
-def test_what_stores_hold_is_listed_before_callers_are_let_in(go):
-    """All hosts have started again, and callers have waited for them.
+def test_stores_are_listed_before_callers_are_admitted(go):
+    """Guards against prefills of prompts whose parts the stores still hold.
 
-    Without a list their prompts would all be read anew, although the stores
-    hold most of what they share.
+    All hosts have restarted, and callers have waited for them. Without a list of the
+    stored parts no host would have any part fetched.
     """
 
     async def run():
