--- a/tests/platform/test_entries.py
+++ b/tests/platform/test_entries.py
@@ -38,8 +38,8 @@
             self.failures -= 1
             raise platform.PlatformAwayError("It is away.")
 
-    async def list(self, kind, may_be_old=False):
-        self._call("old list" if may_be_old else "list")
+    async def list(self, kind, allow_stale=False):
+        self._call("old list" if allow_stale else "list")
         items = [
             objects.StoredObject(name, 1, spec)
             for name, spec in self.spec_by_name.items()
--- a/tests/platform/test_storefeed.py
+++ b/tests/platform/test_storefeed.py
@@ -13,25 +13,25 @@
 
 
 @pytest.mark.parametrize("hosts", [1, 12])
-def test_no_more_hosts_than_places_follow_at_full_pace(hosts):
-    pace = storefeed.choose_pace(hosts, places=12)
+def test_hosts_within_a_stores_limit_follow_at_full_pace(hosts):
+    pace = storefeed.choose_pace(hosts, max_requests=12)
     assert pace == storefeed.Pace(wait_ms=1000, pause_seconds=0.2)
 
 
 @pytest.mark.parametrize("hosts", [13, 24, 80, 119])
 @pytest.mark.parametrize("answer_seconds", [0.02, 1.0])
-def test_requests_of_many_hosts_stay_within_a_stores_places(hosts, answer_seconds):
+def test_requests_of_many_hosts_stay_within_a_stores_limit(hosts, answer_seconds):
     """Guards against a store that is busy refusing requests.
 
     Eighty hosts follow a store that holds twelve requests at once. If refused hosts ask
     again at once, they are refused again, and each request is charged as a probe.
     """
-    places = 12
-    pace = storefeed.choose_pace(hosts, places)
+    max_requests = 12
+    pace = storefeed.choose_pace(hosts, max_requests)
     assert pace.wait_ms >= 200
-    asking = min(answer_seconds, pace.wait_ms / 1000)
-    share = asking / (asking + pace.pause_seconds)
-    assert hosts * share <= places * 1.05
+    open_seconds = min(answer_seconds, pace.wait_ms / 1000)
+    share = open_seconds / (open_seconds + pace.pause_seconds)
+    assert hosts * share <= max_requests * 1.05
 
 
 def test_a_refused_follower_waits_longer_each_time_up_to_a_bound():
@@ -88,8 +88,8 @@
         row = kvstores.StoreRow("s", store)
         core, stores, now = _Core([row]), _Stores(), clock.SystemClock()
         log = eventlog.EventLog("entry-1", eventlog.HybridClock(now), 1)
-        feeding = driver.Driver(core, now, log)
-        feed = storefeed.StoreFeed(feeding, stores, random.Random(1))
+        feeding_driver = driver.Driver(core, now, log)
+        feed = storefeed.StoreFeed(feeding_driver, stores, random.Random(1))
         async with feed:
             feed._follow_all(kvstores.FollowStores((row,)))
             assert not feed.all_asked.is_set()
