--- a/tests/platform/test_records.py
+++ b/tests/platform/test_records.py
@@ -1,4 +1,4 @@
-"""Objects of the platform's store that another writer may have written."""
+"""Reading records of the platform's store that any writer may have written."""
 
 import json
 
@@ -20,7 +20,7 @@
     "Seq": 3,
     "born": 1_700_000_000_000,
 }
-# What a record may hold instead of what belongs there.
+# Values that a field of a record may have instead of a valid one.
 ODD = [None, True, -1, 0, 1.5, float("inf"), float("nan"), "", "x", [], ["x"], {}]
 ODD += [2**70, "10.0.0.1:0", "10.0.0.1:80:80", "host:80", "\ud800", "a\r\nb"]
 ANYTHING = st.recursive(
@@ -45,7 +45,7 @@
         return None
 
 
-def test_a_good_record_is_read_whole():
+def test_all_fields_of_a_good_record_are_read():
     read = reads(GOOD | {"Models": [{"Name": "m", "Version": 2}], "more": []})
     assert (read.service, read.address, read.slots) == ("desk", "10.0.0.1:80", 8)
     assert (read.version_by_model, read.born) == ({"m": 2}, 1_700_000_000_000)
@@ -54,17 +54,17 @@
 
 @pytest.mark.parametrize("field", [name for name in GOOD if name != "born"])
 def test_a_record_that_lacks_a_field_names_no_target(field):
-    """Another writer puts a record; requests went to the target that it named.
+    """Guards against requests to a target that doesn't exist.
 
-    The fields that were missing were guessed, so callers waited for a target
-    that isn't there.
+    Another writer stores a record that lacks fields. If they were guessed, callers
+    would wait for the target that the record seems to name.
     """
     assert reads({name: GOOD[name] for name in GOOD if name != field}) is None
 
 
 @pytest.mark.parametrize("odd", ODD, ids=repr)
 @pytest.mark.parametrize("field", ["Address", "State", "Slots", "Service", "born"])
-def test_a_record_with_a_field_of_another_kind_names_no_target(field, odd):
+def test_a_record_with_a_field_of_another_type_names_no_target(field, odd):
     fits = {
         "Service": isinstance(odd, str) and odd not in ("", "\ud800"),
         "Slots": False,
@@ -76,18 +76,18 @@
 
 
 @pytest.mark.parametrize("name", ["", "a b", "a\r\nb", "\ud800", "é", "x" * 300])
-def test_a_name_that_no_header_can_bear_names_no_target(name):
+def test_a_name_that_fits_no_header_names_no_target(name):
     assert reads(GOOD, name) is None
 
 
-def test_the_finding_names_the_place():
+def test_the_finding_names_target_and_field():
     with pytest.raises(findings.FindingsError, match=r"target desk-1.*Slots"):
         records.read_target(record(GOOD | {"Slots": [1]}))
 
 
 @MANY
 @given(ANYTHING)
-def test_any_content_is_read_or_refused(content):
+def test_any_content_is_read_or_raises_findings(content):
     item = record(content)
     for read in (
         records.read_target,
@@ -107,11 +107,11 @@
 
 @MANY
 @given(st.lists(ANYTHING, max_size=4), st.integers(0, 4))
-def test_good_objects_of_a_page_stay_whatever_stands_beside_them(beside, place):
-    """One object of a list is by another writer and can't be read.
+def test_good_objects_of_a_page_are_read_beside_any_others(beside, place):
+    """Guards against one unreadable object that makes the whole list unreadable.
 
-    The whole list was taken for no answer, again and again, so the host knew of
-    no target at all.
+    Another writer stores such an object. If the list counted as no answer each time it
+    is read, the host would know of no target at all.
     """
     items = [*beside[:place], stored(GOOD), *beside[place:]]
     raw = json.dumps({"items": items, "CurrentRev": 9}).encode()
@@ -125,7 +125,7 @@
 
 @MANY
 @given(st.binary(max_size=40), st.sampled_from(["items", "Events"]))
-def test_good_objects_stay_beside_bytes_that_are_no_json(raw, array):
+def test_good_objects_are_read_beside_bytes_that_are_not_json(raw, array):
     good = stored(GOOD)
     item = good if array == "items" else {"Object": good, "Deleted": False}
     text = json.dumps(item).encode()
@@ -137,13 +137,13 @@
 
 
 @pytest.mark.parametrize("raw", [b"{", b"[" * 9999, b'{"items": [}', b'{"Events": [1'])
-def test_what_is_no_page_is_no_answer(raw):
+def test_an_answer_that_is_not_a_page_raises(raw):
     with pytest.raises(ValueError, match=r"page|nested"):
         pages.load(raw)
 
 
 @pytest.mark.parametrize("revision", [None, -1, 1.5, True, "7", [], 2**80])
-def test_an_object_with_an_odd_revision_has_no_content_that_counts(revision):
+def test_an_object_with_an_invalid_revision_has_no_content(revision):
     item = {"Metadata": {"Name": "desk-1", "Revision": revision}, "Spec": GOOD}
     (read,) = objects._decode_page({"items": [item], "CurrentRev": 9}).objects
     assert reads(read.spec) is None or read.revision == revision
@@ -151,7 +151,7 @@
 
 @MANY
 @given(ANYTHING)
-def test_any_pack_of_a_peer_is_read_or_refused(content):
+def test_any_pack_of_a_peer_is_read_or_raises_findings(content):
     try:
         assert records.read_pack(content).seen is not None
     except findings.FindingsError as error:
