--- a/tests/platform/test_records.py
+++ b/tests/platform/test_records.py
@@ -31,14 +31,14 @@
     ),
     max_leaves=8,
 )
-MANY = settings(derandomize=True, max_examples=300, deadline=None)
+MANY_EXAMPLES = settings(derandomize=True, max_examples=300, deadline=None)
 
 
 def record(spec, name="desk-1", revision=5):
     return objects.StoredObject(name, revision, spec)
 
 
-def reads(spec, name="desk-1"):
+def read_or_none(spec, name="desk-1"):
     try:
         return records.read_target(record(spec, name))
     except findings.FindingsError:
@@ -46,10 +46,10 @@
 
 
 def test_all_fields_of_a_good_record_are_read():
-    read = reads(GOOD | {"Models": [{"Name": "m", "Version": 2}], "more": []})
+    read = read_or_none(GOOD | {"Models": [{"Name": "m", "Version": 2}], "more": []})
     assert (read.service, read.address, read.slots) == ("desk", "10.0.0.1:80", 8)
     assert (read.version_by_model, read.born) == ({"m": 2}, 1_700_000_000_000)
-    assert reads(GOOD | {"State": "draining"}).leaving
+    assert read_or_none(GOOD | {"State": "draining"}).leaving
 
 
 @pytest.mark.parametrize("field", [name for name in GOOD if name != "born"])
@@ -59,7 +59,7 @@
     Another writer stores a record that lacks fields. If they were guessed, callers
     would wait for the target that the record seems to name.
     """
-    assert reads({name: GOOD[name] for name in GOOD if name != field}) is None
+    assert read_or_none({name: GOOD[name] for name in GOOD if name != field}) is None
 
 
 @pytest.mark.parametrize("odd", ODD, ids=repr)
@@ -72,12 +72,12 @@
         "Address": False,
         "born": odd is None,
     }
-    assert (reads(GOOD | {field: odd}) is not None) == fits[field]
+    assert (read_or_none(GOOD | {field: odd}) is not None) == fits[field]
 
 
 @pytest.mark.parametrize("name", ["", "a b", "a\r\nb", "\ud800", "é", "x" * 300])
 def test_a_name_that_fits_no_header_names_no_target(name):
-    assert reads(GOOD, name) is None
+    assert read_or_none(GOOD, name) is None
 
 
 def test_the_finding_names_target_and_field():
@@ -85,7 +85,7 @@
         records.read_target(record(GOOD | {"Slots": [1]}))
 
 
-@MANY
+@MANY_EXAMPLES
 @given(ANYTHING)
 def test_any_content_is_read_or_raises_findings(content):
     item = record(content)
@@ -105,7 +105,7 @@
     return {"Metadata": {"Name": name, "Revision": 7}, "Spec": spec}
 
 
-@MANY
+@MANY_EXAMPLES
 @given(st.lists(ANYTHING, max_size=4), st.integers(0, 4))
 def test_good_objects_of_a_page_are_read_beside_any_others(beside, place):
     """Guards against one unreadable object that makes the whole list unreadable.
@@ -123,7 +123,7 @@
     assert record(GOOD, revision=7) in listing.objects
 
 
-@MANY
+@MANY_EXAMPLES
 @given(st.binary(max_size=40), st.sampled_from(["items", "Events"]))
 def test_good_objects_are_read_beside_bytes_that_are_not_json(raw, array):
     good = stored(GOOD)
@@ -146,10 +146,10 @@
 def test_an_object_with_an_invalid_revision_has_no_content(revision):
     item = {"Metadata": {"Name": "desk-1", "Revision": revision}, "Spec": GOOD}
     (read,) = objects._decode_page({"items": [item], "CurrentRev": 9}).objects
-    assert reads(read.spec) is None or read.revision == revision
+    assert read_or_none(read.spec) is None or read.revision == revision
 
 
-@MANY
+@MANY_EXAMPLES
 @given(ANYTHING)
 def test_any_pack_of_a_peer_is_read_or_raises_findings(content):
     try:
