--- a/tests/platform/test_entries.py
+++ b/tests/platform/test_entries.py
@@ -1,4 +1,4 @@
-"""The record by which a host that starts is found, and finds others."""
+"""The record by which a host that starts finds its peers and is found by them."""
 
 import dataclasses
 import random
@@ -14,7 +14,7 @@
 
 
 class _Core:
-    """Notes which hosts it is told of."""
+    """Decision logic that records the names in each list of hosts that it gets."""
 
     def __init__(self):
         self.told = []
@@ -25,7 +25,7 @@
 
 
 class _Client:
-    """The platform's objects; calls fail as often as it is told."""
+    """The platform's objects; as many calls fail as `failures` says."""
 
     def __init__(self, *hosts):
         self.spec_by_name = {host.name: _spec(host) for host in hosts}
@@ -36,7 +36,7 @@
         self.calls.append(text)
         if self.failures:
             self.failures -= 1
-            raise platform.PlatformAwayError("It is away.")
+            raise platform.PlatformAwayError("The platform is unavailable.")
 
     async def list(self, kind, allow_stale=False):
         self._call("old list" if allow_stale else "list")
@@ -71,7 +71,7 @@
 
 
 def run(go, client):
-    """Have a host announce itself, and return what it was told."""
+    """Have a host announce itself; return its decision logic."""
     core, now = _Core(), clock.SystemClock()
     log = eventlog.EventLog(ME.name, eventlog.HybridClock(now), 1)
     feeding = driver.Driver(core, now, log)
@@ -80,10 +80,11 @@
     return core
 
 
-def test_a_new_host_writes_its_record_and_lists_the_others_after_it(go):
-    """All hosts start for the first time; the first lists of all are empty.
+def test_a_new_host_writes_its_record_and_then_lists_all_hosts_again(go):
+    """Guards against hosts that know only themselves.
 
-    Without a list after its own write each would know of itself only.
+    If all hosts start for the first time, the first list of each is empty. The others'
+    records are in the list only once they have been written.
     """
     client = _Client()
     core = run(go, client)
@@ -91,10 +92,11 @@
     assert core.told[-1] == ["entry-1"]
 
 
-def test_a_host_that_starts_again_asks_once(go):
-    """All hosts have lost their power, and their records lie there still.
+def test_a_host_that_restarts_makes_one_call(go):
+    """Guards against needless calls while callers wait.
 
-    Each wrote its record anew, with four calls, while callers waited.
+    After a power failure of all hosts their records are still stored. If each host
+    wrote its record again, that would take four calls more.
     """
     before = dataclasses.replace(ME, incarnation=3)
     client = _Client(before, OTHER)
@@ -112,7 +114,7 @@
 
 
 @pytest.mark.parametrize("failures", [1, 2])
-def test_a_platform_that_is_away_is_asked_again(go, failures):
+def test_calls_are_repeated_until_the_platform_is_available(go, failures):
     client = _Client()
     client.failures = failures
     run(go, client)
--- a/tests/platform/test_evacuations.py
+++ b/tests/platform/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Evacuations as the operator writes them, read by a real daemon."""
+"""Evacuations and cold targets, as a real daemon reads them from the platform."""
 
 import itertools
 
@@ -24,7 +24,7 @@
 
 
 def test_an_evacuation_holds_until_it_is_removed(play):
-    """Requests went on to targets of a data centre that an operator had emptied."""
+    """Guards against requests to targets of a data centre that was evacuated."""
 
     async def scenario(world):
         await world.add_target("desk-1")
@@ -37,7 +37,7 @@
     play(scenario)
 
 
-def test_a_host_that_starts_and_one_that_the_platform_turns_away_know_of_it(play):
+def test_evacuations_reach_hosts_that_start_and_hosts_that_the_platform_refuses(play):
     async def scenario(world):
         target = await world.add_target("desk-1")
         await world.store.put("evacuations", "dc-1", {})
@@ -55,8 +55,8 @@
     play(scenario)
 
 
-def test_records_that_name_no_evacuation_change_nothing(play):
-    """One line is logged for each, and requests are served as before."""
+def test_invalid_evacuation_records_change_nothing(play):
+    """One line is logged for each record, and requests are served as before."""
 
     async def scenario(world):
         await world.add_target("desk-1")
@@ -76,7 +76,7 @@
     return len(lines) == 2
 
 
-def test_a_target_that_has_just_started_is_used_by_its_sender(play):
+def test_a_target_is_limited_while_its_record_says_that_it_is_cold(play):
     async def scenario(world):
         manifest = standins.make_manifest(2)
         for service in manifest["Services"]:
--- a/tests/platform/test_lease_record.py
+++ b/tests/platform/test_lease_record.py
@@ -9,26 +9,26 @@
 
 
 class Store:
-    """Keeps the content of the one object that is written."""
+    """A platform's store that keeps the content of the last write."""
 
     def __init__(self):
         self.spec = None
 
     async def write(self, kind, name, spec, replaces):
-        """Keep a content; return its revision."""
+        """Keep the content of an object; return its new revision."""
         self.spec = spec
         return replaces + 1
 
 
 class Driver:
-    """Starts commands, and keeps what comes of them."""
+    """A driver that keeps the events that it gets."""
 
     def __init__(self):
         self.carry_out_by_kind = {}
         self.fed = asyncio.Queue()
 
     def on(self, kind, carry_out):
-        """Have commands of a kind carried out."""
+        """Set the handler of commands of a type."""
         self.carry_out_by_kind[kind] = carry_out
 
     def feed(self, event):
@@ -55,6 +55,6 @@
 
 
 def test_a_lease_of_an_earlier_release_is_not_idle():
-    """A record without the field is by a holder that may order at any moment."""
+    """A record without the field has a holder that may give orders at any moment."""
     spec = {"holder": "entry-1/5", "epoch": 4, "renewals": 9}
     assert read(spec) == lease.LeaseRecord("entry-1/5", 4, 9, False)
--- a/tests/platform/test_named_versions.py
+++ b/tests/platform/test_named_versions.py
@@ -1,4 +1,4 @@
-"""How long ago a weight version was named, for a host that missed the naming."""
+"""When a weight version counts as announced on a host that missed the announcement."""
 
 import asyncio
 import contextlib
@@ -16,7 +16,7 @@
 
 
 class _Store:
-    """Holds a named version, and lets the test answer each watch."""
+    """A store with an announced version, whose watches the test answers."""
 
     def __init__(self, version):
         self.listing = _listing(version, 10)
@@ -55,13 +55,13 @@
             self.driver.feed(events.Tick())
 
     def may_begin(self):
-        """Return whether a run may begin on the target's older weights."""
+        """Return whether a run may be sent to the target with its older weights."""
         row = self.core.state.targets.get("llm-3")
         return self.core.weights.may_begin(row, "m", self.clock.now())
 
 
 def _leave_undone(command):
-    """Carry out nothing: neither peers nor targets are there."""
+    """Ignore a command: there are neither peers nor targets."""
 
 
 def _listing(version, revision):
@@ -71,7 +71,7 @@
 
 @contextlib.asynccontextmanager
 async def _following(host):
-    """Follow the named versions, and give the first watch."""
+    """Follow the announced versions; give the first watch."""
     task = asyncio.create_task(host.feeds.watch(feeds.VERSIONS))
     try:
         yield await host.store.watched.get()
@@ -80,13 +80,14 @@
         await asyncio.gather(task, return_exceptions=True)
 
 
-def test_a_host_that_starts_takes_no_version_for_named_just_now(go):
-    """Prompts were answered on weights replaced 11 s before; the users allow 8 s.
+def test_a_host_that_starts_does_not_take_a_version_as_announced_now(go):
+    """Guards against runs on weights that were superseded too long ago.
 
-    A version was named, then all hosts lost power and started again. Each found
-    the version in its first reading of the platform, and counted its age from
-    that reading: `version_named` stands after `Listens at` in each host's log,
-    and sends with the older version go on for 6.4 s from that line.
+    A version was announced, then all hosts lost power and restarted. If a host counts
+    the version's age from its first reading of the platform, it sends prompts to the
+    older weights for another 6.4 s. Observed: answers from weights that had been
+    superseded for 11 s, where 8 s are allowed. In such a host's log `version_named`
+    follows `Listens at`.
     """
 
     async def run():
@@ -99,12 +100,13 @@
     go(run())
 
 
-def test_a_host_that_wakes_up_takes_no_version_for_named_just_now(go):
-    """A host sent prompts to an engine 11 s after its weights had been replaced.
+def test_a_host_that_was_paused_does_not_take_a_version_as_announced_now(go):
+    """Guards against runs on weights that were superseded too long ago.
 
-    It had been paused for 6 s when the version was named, right after the pause
-    began. The answer to its watch lay there when it woke up, and it counted the
-    version's age from then.
+    A host's process was paused for 6 s, and a version was announced right after the
+    pause began. The answer to its watch waited in a buffer when it woke up. If it
+    counts the version's age from then, it sends prompts to superseded weights too long;
+    observed: 11 s after the announcement.
     """
 
     async def run():
@@ -121,7 +123,7 @@
     go(run())
 
 
-def test_a_version_is_counted_from_when_a_host_that_follows_hears_of_it(go):
+def test_a_host_that_watches_takes_a_version_as_announced_when_it_arrives(go):
     async def run():
         host = _Host(_Store(1))
         async with _following(host) as watch:
--- a/tests/platform/test_orders.py
+++ b/tests/platform/test_orders.py
@@ -1,4 +1,4 @@
-"""What the decision logic hears of an order to an engine."""
+"""The events that follow an order to an engine."""
 
 import asyncio
 
@@ -20,14 +20,14 @@
 
 
 class Driver:
-    """Starts commands, and keeps what comes of them."""
+    """A driver that keeps the events that it gets."""
 
     def __init__(self):
         self.carry_out_by_kind = {}
         self.fed = []
 
     def on(self, kind, carry_out):
-        """Have commands of a kind carried out."""
+        """Set the handler of commands of a type."""
         self.carry_out_by_kind[kind] = carry_out
 
     def feed(self, event):
@@ -36,10 +36,10 @@
 
 
 @pytest.mark.parametrize("status", [202, 200, 409, 412, None])
-def test_only_an_accepted_order_is_told_as_running(status):
-    """An engine that accepts an order loads from then on, also if it is cut off.
+def test_only_an_accepted_order_is_reported_as_accepted(status):
+    """An engine that accepts an order loads weights, even if it becomes unreachable.
 
-    Any other answer, or none, says nothing of a load.
+    Any other answer, or none, doesn't show that it loads them.
     """
 
     async def play():
--- a/tests/platform/test_quarantines.py
+++ b/tests/platform/test_quarantines.py
@@ -1,4 +1,4 @@
-"""What the platform remembers of requests that crash targets."""
+"""Quarantine records of requests that crash targets, with real daemons."""
 
 import standins
 
@@ -7,7 +7,7 @@
 HEADERS = {"X-Model": "m", "X-Prompt-Prefix": "aa:100,bb:10"}
 BAD = b"crash"
 KIND = "quarantine"
-# Of the account `acme`, by the key that daemons on the platform share.
+# The fingerprint for the account `acme`, by the key that daemons on the platform share.
 FINGERPRINT = fingerprints.Fingerprints("platform").of(
     "acme", fingerprints.of_content(b"POST", b"/chat/1", BAD)
 )
@@ -21,8 +21,8 @@
     return status, headers.get("Retry-After"), body
 
 
-def test_a_host_that_starts_refuses_what_the_platform_remembers(play):
-    """All hosts lost power, and the request comes to one that has just started."""
+def test_a_host_that_starts_refuses_quarantined_requests(play):
+    """Guards against crashes by a quarantined request after all hosts restarted."""
 
     async def scenario(world):
         engine = await world.add_target("llm-1", "llm")
@@ -38,7 +38,7 @@
     play(scenario)
 
 
-def test_a_record_that_an_operator_removes_is_forgotten(play):
+def test_a_request_is_served_after_an_operator_removes_its_record(play):
     async def scenario(world):
         await world.add_target("llm-1", "llm")
         await world.store.put(KIND, FINGERPRINT, RECORD)
@@ -55,8 +55,8 @@
     play(scenario)
 
 
-def test_a_record_by_another_writer_is_passed_over(play):
-    """A record can't be read, and the host ends or refuses what it shouldn't."""
+def test_a_record_that_cannot_be_read_is_ignored(play):
+    """Guards against a record that ends a host or has it refuse good requests."""
 
     async def scenario(world):
         await world.add_target("llm-1", "llm")
@@ -68,8 +68,12 @@
     play(scenario)
 
 
-def test_what_is_decided_is_written_and_shown(play):
-    """Three engines crash under a request, and all hosts lose power after that."""
+def test_a_quarantine_is_written_and_shown_in_metrics_and_logs(play):
+    """Guards against a quarantine that is lost when all hosts restart.
+
+    A request is quarantined when three engines have crashed under it. Its record must
+    then be in the platform's store.
+    """
 
     async def scenario(world):
         engines = [await world.add_target(f"llm-{n}", "llm") for n in range(4)]
@@ -99,8 +103,11 @@
     play(scenario)
 
 
-def test_peers_tell_what_the_platform_does_not(play):
-    """The platform turns a host away that starts: it has to hear of it from peers."""
+def test_a_host_that_the_platform_refuses_gets_records_from_peers(play):
+    """Guards against a host that lets a quarantined request through.
+
+    The platform refuses the calls of a host that starts.
+    """
 
     async def scenario(world):
         await world.add_target("llm-1", "llm")
