--- a/tests/platform/test_entries.py
+++ b/tests/platform/test_entries.py
@@ -17,10 +17,10 @@
     """Decision logic that records the names in each list of hosts that it gets."""
 
     def __init__(self):
-        self.told = []
+        self.listed_names = []
 
     def step(self, now, happened):
-        self.told += [[host.name for host in item.hosts] for item in happened]
+        self.listed_names += [[host.name for host in item.hosts] for item in happened]
         return []
 
 
@@ -74,8 +74,8 @@
     """Have a host announce itself; return its decision logic."""
     core, now = _Core(), clock.SystemClock()
     log = eventlog.EventLog(ME.name, eventlog.HybridClock(now), 1)
-    feeding = driver.Driver(core, now, log)
-    record = entries.EntryRecord(feeding, client, ME, random.Random(1))
+    feeding_driver = driver.Driver(core, now, log)
+    record = entries.EntryRecord(feeding_driver, client, ME, random.Random(1))
     go(record.announce())
     return core
 
@@ -89,7 +89,7 @@
     client = _Client()
     core = run(go, client)
     assert client.calls == ["old list", "create", "list"]
-    assert core.told[-1] == ["entry-1"]
+    assert core.listed_names[-1] == ["entry-1"]
 
 
 def test_a_host_that_restarts_makes_one_call(go):
@@ -102,7 +102,7 @@
     client = _Client(before, OTHER)
     core = run(go, client)
     assert client.calls == ["old list"]
-    assert core.told == [["entry-1", "entry-2"]]
+    assert core.listed_names == [["entry-1", "entry-2"]]
 
 
 @pytest.mark.parametrize("change", [{"url": "10.9.0.1:80"}, {"peer_address": "x:1"}])
--- a/tests/platform/test_lease_record.py
+++ b/tests/platform/test_lease_record.py
@@ -24,12 +24,12 @@
     """A driver that keeps the events that it gets."""
 
     def __init__(self):
-        self.carry_out_by_kind = {}
+        self.handler_by_command = {}
         self.fed = asyncio.Queue()
 
-    def on(self, kind, carry_out):
+    def on(self, command_type, handler):
         """Set the handler of commands of a type."""
-        self.carry_out_by_kind[kind] = carry_out
+        self.handler_by_command[command_type] = handler
 
     def feed(self, event):
         """Keep an event."""
@@ -47,7 +47,7 @@
         orders.Orders(driver, store, None)
         record = lease.LeaseRecord("entry-1/5/10.0.0.1:70", 4, 9, idle)
         command = lease.WriteLease(record, 6)
-        driver.carry_out_by_kind[lease.WriteLease](command)
+        driver.handler_by_command[lease.WriteLease](command)
         assert await driver.fed.get() == lease.LeaseWritten(record, 7)
         assert read(store.spec) == record
 
--- a/tests/platform/test_named_versions.py
+++ b/tests/platform/test_named_versions.py
@@ -20,14 +20,14 @@
 
     def __init__(self, version):
         self.listing = _listing(version, 10)
-        self.watched = asyncio.Queue()
+        self.watches = asyncio.Queue()
 
     async def list(self, kind):
         return self.listing
 
     async def watch(self, kind, revision, wait):
         answer = asyncio.get_running_loop().create_future()
-        await self.watched.put(answer)
+        await self.watches.put(answer)
         return await answer
 
 
@@ -44,7 +44,7 @@
         log = eventlog.EventLog("entry-1", eventlog.HybridClock(self.clock), 1)
         self.driver = driver.Driver(self.core, self.clock, log)
         for command in (lease.ReadLease, rollout.ReadReport, commands.GossipTo):
-            self.driver.on(command, _leave_undone)
+            self.driver.on(command, _ignore)
         self.feeds = feeds.Feeds(self.driver, store, random.Random(1))
 
     def pass_time(self, duration):
@@ -60,7 +60,7 @@
         return self.core.weights.may_begin(row, "m", self.clock.now())
 
 
-def _leave_undone(command):
+def _ignore(command):
     """Ignore a command: there are neither peers nor targets."""
 
 
@@ -74,7 +74,7 @@
     """Follow the announced versions; give the first watch."""
     task = asyncio.create_task(host.feeds.watch(feeds.VERSIONS))
     try:
-        yield await host.store.watched.get()
+        yield await host.store.watches.get()
     finally:
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
@@ -115,7 +115,7 @@
             host.pass_time(SECOND)
             host.clock.advance(6 * SECOND)
             watch.set_result(_listing(2, 11))
-            await host.store.watched.get()
+            await host.store.watches.get()
             assert host.core.weights.named("m") == 2
             host.pass_time(SECOND)
             assert not host.may_begin()
@@ -129,7 +129,7 @@
         async with _following(host) as watch:
             host.pass_time(5 * SECOND)
             watch.set_result(_listing(2, 11))
-            await host.store.watched.get()
+            await host.store.watches.get()
             host.pass_time(6 * SECOND)
             assert host.may_begin()
             host.pass_time(SECOND)
--- a/tests/platform/test_orders.py
+++ b/tests/platform/test_orders.py
@@ -23,12 +23,12 @@
     """A driver that keeps the events that it gets."""
 
     def __init__(self):
-        self.carry_out_by_kind = {}
+        self.handler_by_command = {}
         self.fed = []
 
-    def on(self, kind, carry_out):
+    def on(self, command_type, handler):
         """Set the handler of commands of a type."""
-        self.carry_out_by_kind[kind] = carry_out
+        self.handler_by_command[command_type] = handler
 
     def feed(self, event):
         """Keep an event."""
@@ -44,10 +44,10 @@
 
     async def play():
         driver = Driver()
-        carried_out = orders.Orders(driver, None, Servers(status))
+        order_runner = orders.Orders(driver, None, Servers(status))
         order = rollout.OrderVersion("llm-0", "a:0", "m", 2, 1, 3)
-        driver.carry_out_by_kind[rollout.OrderVersion](order)
-        await asyncio.gather(*carried_out._tasks)
+        driver.handler_by_command[rollout.OrderVersion](order)
+        await asyncio.gather(*order_runner._tasks)
         return driver.fed
 
     accepted = [rollout.OrderAccepted("llm-0", 3)]
--- a/tests/platform/test_quarantines.py
+++ b/tests/platform/test_quarantines.py
@@ -118,8 +118,8 @@
         numbers = iter(range(1, 1000))
 
         async def is_refused():
-            asked = await ask_bad(world, second, f"r{next(numbers)}")
-            return asked[0] == 503 and b"quarantined" in asked[2]
+            answer = await ask_bad(world, second, f"r{next(numbers)}")
+            return answer[0] == 503 and b"quarantined" in answer[2]
 
         await world.until(is_refused)
 
