--- a/tests/platform/test_evacuations.py
+++ b/tests/platform/test_evacuations.py
@@ -24,7 +24,7 @@
 
 
 def test_an_evacuation_holds_until_it_is_removed(play):
-    """Guards against requests to targets of a data centre that was evacuated."""
+    """Guards against requests to targets in a data centre that was evacuated."""
 
     async def scenario(world):
         await world.add_target("desk-1")
--- a/tests/platform/test_records.py
+++ b/tests/platform/test_records.py
@@ -20,7 +20,7 @@
     "Seq": 3,
     "born": 1_700_000_000_000,
 }
-# Values that a field of a record may have instead of a valid one.
+# Unusual values for a field of a record; most are invalid in most fields.
 ODD = [None, True, -1, 0, 1.5, float("inf"), float("nan"), "", "x", [], ["x"], {}]
 ODD += [2**70, "10.0.0.1:0", "10.0.0.1:80:80", "host:80", "\ud800", "a\r\nb"]
 ANYTHING = st.recursive(
