--- a/tests/platform/test_orders.py
+++ b/tests/platform/test_orders.py
@@ -1,4 +1,4 @@
-"""What the decision logic hears of an order to an engine."""
+"""The events that follow an order to an engine."""
 
 import asyncio
 
@@ -20,15 +20,15 @@
 
 
 class Driver:
-    """Starts commands, and keeps what comes of them."""
+    """A driver that keeps the events that it gets."""
 
     def __init__(self):
-        self.carry_out_by_kind = {}
+        self.handler_by_command = {}
         self.fed = []
 
-    def on(self, kind, carry_out):
-        """Have commands of a kind carried out."""
-        self.carry_out_by_kind[kind] = carry_out
+    def on(self, command_type, handler):
+        """Set the handler of commands of a type."""
+        self.handler_by_command[command_type] = handler
 
     def feed(self, event):
         """Keep an event."""
@@ -36,18 +36,18 @@
 
 
 @pytest.mark.parametrize("status", [202, 200, 409, 412, None])
-def test_only_an_accepted_order_is_told_as_running(status):
-    """An engine that accepts an order loads from then on, also if it is cut off.
+def test_only_an_accepted_order_is_reported_as_accepted(status):
+    """An engine that accepts an order loads weights, even if it becomes unreachable.
 
-    Any other answer, or none, says nothing of a load.
+    Any other answer, or none, doesn't show that it loads them.
     """
 
     async def play():
         driver = Driver()
-        carried_out = orders.Orders(driver, None, Servers(status))
+        order_runner = orders.Orders(driver, None, Servers(status))
         order = rollout.OrderVersion("llm-0", "a:0", "m", 2, 1, 3)
-        driver.carry_out_by_kind[rollout.OrderVersion](order)
-        await asyncio.gather(*carried_out._tasks)
+        driver.handler_by_command[rollout.OrderVersion](order)
+        await asyncio.gather(*order_runner._tasks)
         return driver.fed
 
     accepted = [rollout.OrderAccepted("llm-0", 3)]
