--- a/deploy/bundle.py
+++ b/deploy/bundle.py
@@ -1,4 +1,4 @@
-"""Writes the bundle of the code that is in force, unless there is one."""
+"""Writes the bundle for the current version of the code, unless there is one."""
 
 import importlib
 import os
@@ -8,7 +8,7 @@
 
 
 def main():
-    """Write the bundle beside its place, then put it there."""
+    """Write the bundle to a draft file, then move the file into place atomically."""
     startbundle = importlib.import_module("sesamespindle.platform.startbundle")
     path = startbundle.path_of(sesamespindle)
     if os.path.exists(path):
@@ -22,5 +22,5 @@
     try:
         main()
     except ImportError as error:
-        # The daemon starts without it, only more slowly.
+        # The daemon also starts without a bundle, only more slowly.
         print(f"No bundle is made: {error}", file=sys.stderr)
--- a/deploy/package.py
+++ b/deploy/package.py
@@ -1,6 +1,7 @@
-"""The daemon's code in the version that is in force when a process starts.
+"""The daemon's package, with the version of the code that is current at import.
 
-A process asks once and stays with its version, whatever is built meanwhile.
+The link `current` is read once, so a process loads all its modules from one version,
+also if another version is built meanwhile.
 """
 
 import os
--- a/tests/deploy/test_build.py
+++ b/tests/deploy/test_build.py
@@ -1,9 +1,8 @@
-"""What daemons that start during a build find of the daemon's code.
+"""Builds replace the daemon's code while daemons start and load it.
 
-A host restarts while the same checkout is built anew. Its daemon begins to load
-in the middle of the build, finds a module missing and ends with an ImportError,
-or loads some modules of the old code and some of the new. The cause: the build
-removed the code that was in place, changed or not, and copied it file by file.
+Guards against a daemon that starts during a build of its checkout and ends with an
+ImportError, or loads some modules of the old code and some of the new. Both happen
+when a build removes the installed code and copies the new code file by file.
 """
 
 import os
@@ -18,10 +17,10 @@
 ROOT = pathlib.Path(__file__).parent.parent.parent
 PARTS = ["packages/decide", "packages/declare", "packages/wire", "packages/daemon"]
 PARTS = [*PARTS, "platform"]
-# A module in the first package that is copied and one in the last.
+# A module in the first package that the build copies, and one in the last.
 MODULES = ["sesamespindle.decide.first", "sesamespindle.platform.last"]
-# A daemon that is started: it says which version of each module it loads, then
-# whether the modules had been compiled before.
+# A daemon that prints which version of each module it loads, then whether the modules
+# were already compiled.
 DAEMON = f"""
 import importlib, pathlib, sys
 sys.dont_write_bytecode = True
@@ -29,14 +28,16 @@
 compiled = all(pathlib.Path(module.__cached__).exists() for module in loaded)
 print(*(module.VERSION for module in loaded), "compiled" if compiled else "slow")
 """
-# A daemon that loads its last module only when it is told to.
+# A daemon that prints the version of its first module, and loads the last module only
+# when it gets a line on standard input.
 LATE_DAEMON = f"""
 import importlib
 print(importlib.import_module("{MODULES[0]}").VERSION, flush=True)
 input()
 print(importlib.import_module("{MODULES[1]}").VERSION)
 """
-# Stands before a program of the build and starts a daemon before and after it.
+# Replaces a program that the build calls: starts a daemon, runs the program, and starts
+# another daemon.
 STAND_BEFORE = """#!/bin/sh
 PATH="{path}"
 start_daemon() {{
@@ -52,12 +53,12 @@
 
 
 class Checkout:
-    """A copy of what a build needs, with libraries that need no download.
+    """A copy of the files that a build needs, with all libraries marked as installed.
 
     Parameters
     ----------
     folder : pathlib.Path
-        Where the copy goes.
+        The folder of the copy.
     left_out : list of str
         Patterns of files that are not copied.
     """
@@ -95,7 +96,7 @@
         assert self.start_build(path).wait() == 0
 
     def start(self, program):
-        """Start a program as daemons are started, with no other code at hand."""
+        """Start a program as a daemon is started, with no other code to import."""
         return subprocess.Popen(
             [sys.executable, "-S", "-c", program],
             env={"PYTHONPATH": str(self.deps)},
@@ -106,11 +107,19 @@
         )
 
     def loaded(self):
-        """Return what a daemon that starts now says."""
+        """Return the output of a daemon that starts now."""
         return self.start(DAEMON).communicate()[0].strip()
 
     def stand_before_programs(self):
-        """Return a path of programs that start daemons, and what those will say."""
+        """Replace the programs of the build by ones that also start daemons.
+
+        Returns
+        -------
+        path : str
+            The PATH under which a build finds them.
+        seen : pathlib.Path
+            The file with the output of the daemons.
+        """
         folder = self.folder / "programs"
         folder.mkdir()
         seen, daemon = folder / "seen", folder / "daemon.py"
@@ -128,7 +137,7 @@
         return f"{folder}{os.pathsep}{os.environ['PATH']}", seen
 
     def place_plainly(self):
-        """Put the code in place as one plain folder, as builds once did."""
+        """Install the code without versions, as earlier forms of the build did."""
         for part in PARTS:
             shutil.copytree(
                 self.folder / part / "sesamespindle", self.package, dirs_exist_ok=True
@@ -138,7 +147,7 @@
         )
 
     def files(self):
-        """Return each file and folder of the code in place, with inode and times."""
+        """Return the inode and times of each file and folder of the installed code."""
         found = {}
         for path in [self.package, *self.package.rglob("*")]:
             status = path.lstat()
@@ -148,7 +157,7 @@
 
 @pytest.fixture
 def checkout(tmp_path):
-    """Give a checkout that was never built, with few modules."""
+    """Return a checkout with few modules that has never been built."""
     made = Checkout(tmp_path)
     made.write_version("old")
     return made
@@ -191,10 +200,10 @@
 
 @pytest.mark.parametrize("is_plain", [False, True], ids=["built", "plain"])
 def test_daemons_that_start_during_a_build_load_one_version(checkout, is_plain):
-    """Daemons start before and after each step of a build that changes code.
+    """Daemons start before and after each step of a build that changes the code.
 
-    One of them found no module at all, as the old code was removed and the new
-    one not yet copied; one found the first package new and the last missing.
+    Guards against a daemon that finds no module at all, because the old code is removed
+    and the new code not yet copied, or finds only the first package of the new code.
     """
     if is_plain:
         checkout.place_plainly()
@@ -211,9 +220,10 @@
 
 @pytest.mark.parametrize("is_plain", [False, True], ids=["built", "plain"])
 def test_a_daemon_that_loads_during_a_build_stays_with_its_version(checkout, is_plain):
-    """A daemon has loaded half of its modules when the code is changed.
+    """The code changes when a daemon has loaded half of its modules.
 
-    It took the other half from the new code, which did not fit.
+    Guards against a daemon that loads the other half from the new code, which doesn't
+    fit the first half.
     """
     if is_plain:
         checkout.place_plainly()
@@ -239,7 +249,10 @@
 
 
 def test_a_version_that_comes_back_is_kept(checkout):
-    """The code goes back to what it was, then on: the version counts as recent."""
+    """The code changes back to an earlier version, which then counts as recent.
+
+    Guards against a build that removes it by age while daemons still load from it.
+    """
     for version in ("back", "1", "2", "back", "3"):
         checkout.write_version(version)
         checkout.build()
@@ -252,9 +265,10 @@
 
 
 def test_builds_at_once_do_each_other_no_harm(checkout):
-    """Two builds of one checkout run at once, and daemons start all the while.
+    """Two builds of one checkout run at once, while daemons start.
 
-    A daemon found modules missing that one build had copied and the other removed.
+    Guards against a daemon that misses modules because one build has copied them and
+    the other has removed them.
     """
     checkout.build()
     checkout.write_version("new")
@@ -267,7 +281,7 @@
 
 
 def test_a_build_that_was_killed_is_made_good_by_the_next(checkout):
-    """A build ends in the middle; what it left behind is no version."""
+    """A build is killed in the middle; its incomplete files are never used."""
     checkout.build()
     checkout.write_version("new")
     path, _ = checkout.stand_before_programs()
