--- a/tests/platform/test_leaving.py
+++ b/tests/platform/test_leaving.py
@@ -91,7 +91,7 @@
         daemon = await world.add_daemon()
         await terminate_and_wait(world, daemon, ADDRESS_KEPT_SECONDS)
         outcome = await ask_for_stream(world, daemon, engine, "r1")
-        assert outcome is not None, "The host took a stream that it can't finish."
+        assert outcome is not None, "The host accepted a stream that it can't finish."
         status, headers = outcome
         assert status == 503
         assert float(headers["Retry-After"]) > 0
@@ -111,7 +111,7 @@
         daemon = await world.add_daemon(grace=3)
         await terminate_and_wait(world, daemon, 1.5)
         outcome = await ask_for_stream(world, daemon, engine, "r1")
-        assert outcome is not None, "The host took a stream that it can't finish."
+        assert outcome is not None, "The host accepted a stream that it can't finish."
         assert outcome[0] == 503
 
     play(scenario)
--- a/tests/platform/test_withdrawal.py
+++ b/tests/platform/test_withdrawal.py
@@ -1,7 +1,7 @@
 """Prompts that wait at an engine whose weights are superseded, with a real relay.
 
-The host withdraws such a prompt before the time ends in which a run may begin on the
-superseded weights.
+The host withdraws such a prompt shortly before the time ends in which runs may begin on
+the superseded weights.
 """
 
 import asyncio
@@ -16,6 +16,9 @@
 from sesamespindle.wire import clock
 
 NOW, SECOND = gateways.NOW, gateways.SECOND
+# Prompts are sent 5 s after version 2 is announced. From 8 s after the announcement no
+# run on version 1 may begin, and the host withdraws prompts that still wait after 0.9
+# of this time. 2.5 s after it is sent, a waiting prompt is therefore withdrawn.
 SENT_AT, UNTIL_WITHDRAWAL = 5 * SECOND, 2.5 * SECOND
 EVENTS = b"".join(b"id: %d\ndata: token\n\n" % number for number in (1, 2, 3))
 
@@ -57,7 +60,7 @@
         row.leaving = False
 
     def advance_to_withdrawal(self):
-        """Advance the clock to just before runs on version 1 may no longer begin."""
+        """Advance the clock until the host withdraws prompts that wait."""
         self._clock.advance(UNTIL_WITHDRAWAL)
         self.served.tick()
 
@@ -95,7 +98,7 @@
 
 @pytest.fixture
 def play(go):
-    """Return a function that runs a scenario with a `Play`."""
+    """Return a function that runs a scenario with a `Simulation`."""
 
     async def with_relay(scenario):
         manual_clock = clock.ManualClock(NOW + SENT_AT)
