--- a/tests/deploy/test_build.py
+++ b/tests/deploy/test_build.py
@@ -1,9 +1,8 @@
-"""What daemons that start during a build find of the daemon's code.
+"""Builds replace the daemon's code while daemons start and load it.
 
-A host restarts while the same checkout is built anew. Its daemon begins to load
-in the middle of the build, finds a module missing and ends with an ImportError,
-or loads some modules of the old code and some of the new. The cause: the build
-removed the code that was in place, changed or not, and copied it file by file.
+Guards against a daemon that starts during a build of its checkout and ends with an
+ImportError, or loads some modules of the old code and some of the new. Both happen
+when a build removes the installed code and copies the new code file by file.
 """
 
 import os
@@ -16,12 +15,12 @@
 import pytest
 
 ROOT = pathlib.Path(__file__).parent.parent.parent
-PARTS = ["packages/decide", "packages/declare", "packages/wire", "packages/daemon"]
-PARTS = [*PARTS, "platform"]
-# A module in the first package that is copied and one in the last.
+PACKAGES = ["packages/decide", "packages/declare", "packages/wire", "packages/daemon"]
+PACKAGES = [*PACKAGES, "platform"]
+# A module in the first package that the build copies, and one in the last.
 MODULES = ["sesamespindle.decide.first", "sesamespindle.platform.last"]
-# A daemon that is started: it says which version of each module it loads, then
-# whether the modules had been compiled before.
+# A daemon that prints which version of each module it loads, then whether the modules
+# were already compiled.
 DAEMON = f"""
 import importlib, pathlib, sys
 sys.dont_write_bytecode = True
@@ -29,18 +28,20 @@
 compiled = all(pathlib.Path(module.__cached__).exists() for module in loaded)
 print(*(module.VERSION for module in loaded), "compiled" if compiled else "slow")
 """
-# A daemon that loads its last module only when it is told to.
+# A daemon that prints the version of its first module, and loads the last module only
+# when it gets a line on standard input.
 LATE_DAEMON = f"""
 import importlib
 print(importlib.import_module("{MODULES[0]}").VERSION, flush=True)
 input()
 print(importlib.import_module("{MODULES[1]}").VERSION)
 """
-# Stands before a program of the build and starts a daemon before and after it.
-STAND_BEFORE = """#!/bin/sh
+# Replaces a program that the build calls: starts a daemon, runs the program, and starts
+# another daemon.
+WRAPPER = """#!/bin/sh
 PATH="{path}"
 start_daemon() {{
-    PYTHONPATH="{deps}" "{python}" -S "{daemon}" >> "{seen}" 2>&1
+    PYTHONPATH="{deps}" "{python}" -S "{daemon}" >> "{output_file}" 2>&1
 }}
 start_daemon
 "$(basename "$0")" "$@"
@@ -52,25 +53,25 @@
 
 
 class Checkout:
-    """A copy of what a build needs, with libraries that need no download.
+    """A copy of the files that a build needs, with all libraries marked as installed.
 
     Parameters
     ----------
     folder : pathlib.Path
-        Where the copy goes.
-    left_out : list of str
+        The folder of the copy.
+    excluded : list of str
         Patterns of files that are not copied.
     """
 
-    def __init__(self, folder, left_out=("[!_]*.py", "__pycache__")):
+    def __init__(self, folder, excluded=("[!_]*.py", "__pycache__")):
         self.folder = folder
         self.deps = folder / "target" / "deps"
         self.package = self.deps / "sesamespindle"
-        for part in PARTS:
+        for source in PACKAGES:
             shutil.copytree(
-                ROOT / part / "sesamespindle",
-                folder / part / "sesamespindle",
-                ignore=shutil.ignore_patterns(*left_out),
+                ROOT / source / "sesamespindle",
+                folder / source / "sesamespindle",
+                ignore=shutil.ignore_patterns(*excluded),
             )
         shutil.copytree(ROOT / "deploy", folder / "deploy")
         self.deps.mkdir(parents=True)
@@ -81,8 +82,8 @@
 
     def write_version(self, version):
         """Change one module in the first and one in the last package."""
-        for part, name in zip((PARTS[0], PARTS[-1]), MODULES, strict=True):
-            path = self.folder / part / f"{name.replace('.', '/')}.py"
+        for source, name in zip((PACKAGES[0], PACKAGES[-1]), MODULES, strict=True):
+            path = self.folder / source / f"{name.replace('.', '/')}.py"
             path.write_text(f'"""A version."""\n\nVERSION = "{version}"\n')
 
     def start_build(self, path=None):
@@ -95,7 +96,7 @@
         assert self.start_build(path).wait() == 0
 
     def start(self, program):
-        """Start a program as daemons are started, with no other code at hand."""
+        """Start a program as a daemon is started, with no other code to import."""
         return subprocess.Popen(
             [sys.executable, "-S", "-c", program],
             env={"PYTHONPATH": str(self.deps)},
@@ -105,40 +106,50 @@
             text=True,
         )
 
-    def loaded(self):
-        """Return what a daemon that starts now says."""
+    def daemon_output(self):
+        """Return the output of a daemon that starts now."""
         return self.start(DAEMON).communicate()[0].strip()
 
-    def stand_before_programs(self):
-        """Return a path of programs that start daemons, and what those will say."""
+    def wrap_programs(self):
+        """Replace the programs of the build by ones that also start daemons.
+
+        Returns
+        -------
+        path : str
+            The PATH under which a build finds them.
+        output_file : pathlib.Path
+            The file with the output of the daemons.
+        """
         folder = self.folder / "programs"
         folder.mkdir()
-        seen, daemon = folder / "seen", folder / "daemon.py"
+        output_file, daemon = folder / "seen", folder / "daemon.py"
         daemon.write_text(DAEMON)
-        text = STAND_BEFORE.format(
+        text = WRAPPER.format(
             path=os.environ["PATH"],
             deps=self.deps,
             python=sys.executable,
             daemon=daemon,
-            seen=seen,
+            output_file=output_file,
         )
         for program in PROGRAMS:
             (folder / program).write_text(text)
             (folder / program).chmod(0o755)
-        return f"{folder}{os.pathsep}{os.environ['PATH']}", seen
+        return f"{folder}{os.pathsep}{os.environ['PATH']}", output_file
 
-    def place_plainly(self):
-        """Put the code in place as one plain folder, as builds once did."""
-        for part in PARTS:
+    def install_unversioned(self):
+        """Install the code without versions, as earlier forms of the build did."""
+        for source in PACKAGES:
             shutil.copytree(
-                self.folder / part / "sesamespindle", self.package, dirs_exist_ok=True
+                self.folder / source / "sesamespindle",
+                self.package,
+                dirs_exist_ok=True,
             )
         subprocess.run(
             [sys.executable, "-m", "compileall", "-q", self.package], check=True
         )
 
     def files(self):
-        """Return each file and folder of the code in place, with inode and times."""
+        """Return the inode and times of each file and folder of the installed code."""
         found = {}
         for path in [self.package, *self.package.rglob("*")]:
             status = path.lstat()
@@ -148,19 +159,19 @@
 
 @pytest.fixture
 def checkout(tmp_path):
-    """Give a checkout that was never built, with few modules."""
-    made = Checkout(tmp_path)
-    made.write_version("old")
-    return made
+    """Return a checkout with few modules that has never been built."""
+    new_checkout = Checkout(tmp_path)
+    new_checkout.write_version("old")
+    return new_checkout
 
 
 def test_a_clean_checkout_is_built(checkout):
     checkout.build()
-    assert checkout.loaded() == "old old compiled"
+    assert checkout.daemon_output() == "old old compiled"
 
 
-def test_all_files_of_the_code_are_there(tmp_path):
-    checkout = Checkout(tmp_path, left_out=[])
+def test_all_files_of_the_code_are_installed(tmp_path):
+    checkout = Checkout(tmp_path, excluded=[])
     checkout.build()
     program = """
 import importlib, pathlib
@@ -173,50 +184,55 @@
 """
     output, _ = checkout.start(program).communicate()
     wanted = {
-        f"{part.split('/')[-1]} {path.relative_to(folder)}"
-        for part in PARTS
-        for folder in [checkout.folder / part / "sesamespindle" / part.split("/")[-1]]
+        f"{source.split('/')[-1]} {path.relative_to(folder)}"
+        for source in PACKAGES
+        for folder in [
+            checkout.folder / source / "sesamespindle" / source.split("/")[-1]
+        ]
         for path in folder.rglob("*")
         if path.is_file() and path.suffix != ".pyc"
     }
     assert set(output.splitlines()) == wanted
 
 
-def test_unchanged_code_is_left_as_it_is(checkout):
+def test_a_build_without_changes_touches_no_file(checkout):
     checkout.build()
     before = checkout.files()
     checkout.build()
     assert checkout.files() == before
 
 
-@pytest.mark.parametrize("is_plain", [False, True], ids=["built", "plain"])
-def test_daemons_that_start_during_a_build_load_one_version(checkout, is_plain):
-    """Daemons start before and after each step of a build that changes code.
+@pytest.mark.parametrize("is_unversioned", [False, True], ids=["built", "plain"])
+def test_daemons_that_start_during_a_build_load_one_version(checkout, is_unversioned):
+    """Daemons start before and after each step of a build that changes the code.
 
-    One of them found no module at all, as the old code was removed and the new
-    one not yet copied; one found the first package new and the last missing.
+    Guards against a daemon that finds no module at all, because the old code is removed
+    and the new code not yet copied, or finds only the first package of the new code.
     """
-    if is_plain:
-        checkout.place_plainly()
+    if is_unversioned:
+        checkout.install_unversioned()
     else:
         checkout.build()
     checkout.write_version("new")
-    path, seen = checkout.stand_before_programs()
+    path, output_file = checkout.wrap_programs()
     checkout.build(path)
-    said = seen.read_text().splitlines()
-    assert set(said) == {"old old compiled", "new new compiled"}
-    assert said == sorted(said, reverse=True)
-    assert checkout.loaded() == "new new compiled"
+    outputs = output_file.read_text().splitlines()
+    assert set(outputs) == {"old old compiled", "new new compiled"}
+    assert outputs == sorted(outputs, reverse=True)
+    assert checkout.daemon_output() == "new new compiled"
 
 
-@pytest.mark.parametrize("is_plain", [False, True], ids=["built", "plain"])
-def test_a_daemon_that_loads_during_a_build_stays_with_its_version(checkout, is_plain):
-    """A daemon has loaded half of its modules when the code is changed.
+@pytest.mark.parametrize("is_unversioned", [False, True], ids=["built", "plain"])
+def test_a_daemon_that_loads_modules_during_a_build_keeps_its_version(
+    checkout, is_unversioned
+):
+    """The code changes when a daemon has loaded half of its modules.
 
-    It took the other half from the new code, which did not fit.
+    Guards against a daemon that loads the other half from the new code, which doesn't
+    fit the first half.
     """
-    if is_plain:
-        checkout.place_plainly()
+    if is_unversioned:
+        checkout.install_unversioned()
     else:
         checkout.build()
     daemon = checkout.start(LATE_DAEMON)
@@ -224,22 +240,25 @@
     checkout.write_version("new")
     checkout.build()
     assert daemon.communicate("\n")[0] == "old\n"
-    assert checkout.loaded() == "new new compiled"
+    assert checkout.daemon_output() == "new new compiled"
 
 
-def test_versions_of_long_ago_are_removed(checkout):
-    checkout.place_plainly()
+def test_old_versions_are_removed(checkout):
+    checkout.install_unversioned()
     sizes = []
     for number in range(6):
         checkout.write_version(f"{number}")
         checkout.build()
-        assert checkout.loaded() == f"{number} {number} compiled"
+        assert checkout.daemon_output() == f"{number} {number} compiled"
         sizes.append(sum(1 for _ in checkout.package.rglob("last.py")))
     assert sizes[-1] == sizes[-2] == 3
 
 
-def test_a_version_that_comes_back_is_kept(checkout):
-    """The code goes back to what it was, then on: the version counts as recent."""
+def test_a_version_that_is_built_again_counts_as_recent(checkout):
+    """The code changes back to an earlier version, which then counts as recent.
+
+    Guards against a build that removes it by age while daemons still load from it.
+    """
     for version in ("back", "1", "2", "back", "3"):
         checkout.write_version(version)
         checkout.build()
@@ -247,33 +266,34 @@
     assert daemon.stdout.readline() == "3\n"
     checkout.write_version("back")
     checkout.build()
-    assert checkout.loaded() == "back back compiled"
+    assert checkout.daemon_output() == "back back compiled"
     assert daemon.communicate("\n")[0] == "3\n"
 
 
-def test_builds_at_once_do_each_other_no_harm(checkout):
-    """Two builds of one checkout run at once, and daemons start all the while.
+def test_concurrent_builds_do_not_interfere(checkout):
+    """Two builds of one checkout run at once, while daemons start.
 
-    A daemon found modules missing that one build had copied and the other removed.
+    Guards against a daemon that misses modules because one build has copied them and
+    the other has removed them.
     """
     checkout.build()
     checkout.write_version("new")
-    path, seen = checkout.stand_before_programs()
+    path, output_file = checkout.wrap_programs()
     builds = [checkout.start_build(path) for _ in range(2)]
     assert [build.wait() for build in builds] == [0, 0]
-    said = set(seen.read_text().splitlines())
-    assert said <= {"old old compiled", "new new compiled"}
-    assert checkout.loaded() == "new new compiled"
+    outputs = set(output_file.read_text().splitlines())
+    assert outputs <= {"old old compiled", "new new compiled"}
+    assert checkout.daemon_output() == "new new compiled"
 
 
-def test_a_build_that_was_killed_is_made_good_by_the_next(checkout):
-    """A build ends in the middle; what it left behind is no version."""
+def test_a_build_after_a_killed_one_succeeds(checkout):
+    """A build is killed in the middle; its incomplete files are never used."""
     checkout.build()
     checkout.write_version("new")
-    path, _ = checkout.stand_before_programs()
+    path, _ = checkout.wrap_programs()
     kill = checkout.folder / "programs" / "mv"
     kill.write_text("#!/bin/sh\nkill -KILL $PPID\n")
     assert checkout.start_build(path).wait() == -signal.SIGKILL
-    assert checkout.loaded() == "old old compiled"
+    assert checkout.daemon_output() == "old old compiled"
     checkout.build()
-    assert checkout.loaded() == "new new compiled"
+    assert checkout.daemon_output() == "new new compiled"
--- a/tests/platform/test_leaving.py
+++ b/tests/platform/test_leaving.py
@@ -1,4 +1,4 @@
-"""What callers get from a host that leaves, with a real daemon and stand-ins."""
+"""What callers get from a leaving host, with a real daemon and simulated targets."""
 
 import asyncio
 import signal
@@ -7,85 +7,91 @@
 import aiohttp
 import pytest
 
-CHAT = {"X-Model": "m", "X-Prompt-Prefix": "aa:100,bb:10"}
-# Callers keep an answer of the directory for its second, some for three.
-KEPT_SECONDS = 3.0
+CHAT_HEADERS = {"X-Model": "m", "X-Prompt-Prefix": "aa:100,bb:10"}
+# The TTL of a directory answer is one second; some callers use it for three.
+ADDRESS_KEPT_SECONDS = 3.0
 
 
 async def add_endless_engine(world):
-    """Add an engine whose streams stay at their first event."""
+    """Add an engine whose streams stop after their first event."""
     engine = await world.add_target("llm-1", "llm")
     engine.release.clear()
     return engine
 
 
-def test_the_log_tells_a_cut_by_the_hosts_end_from_a_caller_that_left(play):
-    """A host's grace time ends while a stream is still under way.
+def test_the_log_distinguishes_an_answer_cut_off_by_the_host_from_a_caller_that_left(
+    play,
+):
+    """The grace time of a host ends while a stream is still in flight.
 
-    The log said that the caller had left, and nothing of how far the answer had
-    come, so a lost answer looked like a caller's choice.
+    Guards against a log that says the caller has left and not how much of the answer
+    was sent: the lost answer would look as if the caller had cancelled it.
     """
 
     async def scenario(world):
         engine = await add_endless_engine(world)
         daemon = await world.add_daemon(grace=2)
-        asking = asyncio.create_task(world.ask(daemon, "/chat/1", "r1", **CHAT))
+        request_task = asyncio.create_task(
+            world.ask(daemon, "/chat/1", "r1", **CHAT_HEADERS)
+        )
         await engine.began.wait()
         daemon.terminate()
         with pytest.raises(aiohttp.ClientError):
-            await asking
+            await request_task
         assert await daemon.ended() == 0
-        said = "\n".join(line for line in daemon.lines() if '"r1"' in line)
-        assert "Cut off by the end of this host: 19 bytes of the answer" in said
-        assert "The caller has left" not in said
+        request_lines = "\n".join(line for line in daemon.lines() if '"r1"' in line)
+        assert (
+            "Cut off by the end of this host: 19 bytes of the answer" in request_lines
+        )
+        assert "The caller has left" not in request_lines
 
     play(scenario)
 
 
 async def terminate_and_wait(world, daemon, seconds):
-    """Send SIGTERM and wait until it is at least so long ago."""
+    """Send SIGTERM and wait until at least so many seconds have passed."""
     daemon.terminate()
     due = time.monotonic() + seconds
 
-    async def passed():
+    async def has_passed():
         return time.monotonic() >= due
 
-    await world.until(passed)
+    await world.until(has_passed)
 
 
 async def ask_for_stream(world, daemon, engine, request_id):
-    """Ask for a stream; return its status and headers, or None once it runs."""
-    asking = asyncio.create_task(world.ask(daemon, "/chat/1", request_id, **CHAT))
+    """Ask for a stream; return its status and headers, or None if an engine runs it."""
+    request_task = asyncio.create_task(
+        world.ask(daemon, "/chat/1", request_id, **CHAT_HEADERS)
+    )
 
-    async def decided():
-        return asking.done() or bool(engine.runs)
+    async def is_decided():
+        return request_task.done() or bool(engine.runs)
 
-    await world.until(decided)
+    await world.until(is_decided)
     if engine.runs:
-        asking.cancel()
-        await asyncio.gather(asking, return_exceptions=True)
+        request_task.cancel()
+        await asyncio.gather(request_task, return_exceptions=True)
         return None
-    status, headers, _ = await asking
+    status, headers, _ = await request_task
     return status, headers
 
 
 def test_a_stream_that_may_outlast_a_leaving_host_is_refused_once_callers_know(play):
-    """A caller gets the beginning of an answer and then a closed connection.
-
-    A host got SIGTERM and was out of every directory within a second. 3.02 s
-    later a caller with an old address sent a prompt with 10.4 s left. The host
-    took it, as it took all that came within 3.5 s, and ended 4.7 s later by its
-    grace time, in the middle of the stream. Evidence: "Leaves", "Sent to target
-    ..., 10382 ms left" 3.0 s after it, and the cut in the instant of "Has left"
-    in the log of one host, while the engine still ran the request.
+    """A caller with an old directory answer sends a prompt to a leaving host.
+
+    Guards against an answer that is cut off. After SIGTERM the host leaves all
+    directories within a second. A host that accepts every request for a fixed time
+    also accepts prompts whose deadline is later than its own end, and its grace time
+    ends in the middle of their streams.
     """
 
     async def scenario(world):
         engine = await add_endless_engine(world)
         daemon = await world.add_daemon()
-        await terminate_and_wait(world, daemon, KEPT_SECONDS)
+        await terminate_and_wait(world, daemon, ADDRESS_KEPT_SECONDS)
         outcome = await ask_for_stream(world, daemon, engine, "r1")
-        assert outcome is not None, "The host took a stream that it can't finish."
+        assert outcome is not None, "The host accepted a stream that it can't finish."
         status, headers = outcome
         assert status == 503
         assert float(headers["Retry-After"]) > 0
@@ -93,11 +99,11 @@
     play(scenario)
 
 
-def test_a_host_with_a_short_grace_time_takes_no_stream_towards_its_end(play):
-    """The platform lets a host be for 3 s after SIGTERM, and a stream is cut.
+def test_a_host_with_a_short_grace_time_accepts_no_stream_near_its_end(play):
+    """The platform kills a host 3 s after SIGTERM, and its streams are cut off.
 
-    How long requests were taken had nothing to do with the grace time: this
-    host would have taken streams up to its end and cut all of them.
+    Guards against a host that accepts requests for a time that doesn't depend on its
+    grace time. This one would accept streams until its end and cut off all of them.
     """
 
     async def scenario(world):
@@ -105,18 +111,18 @@
         daemon = await world.add_daemon(grace=3)
         await terminate_and_wait(world, daemon, 1.5)
         outcome = await ask_for_stream(world, daemon, engine, "r1")
-        assert outcome is not None, "The host took a stream that it can't finish."
+        assert outcome is not None, "The host accepted a stream that it can't finish."
         assert outcome[0] == 503
 
     play(scenario)
 
 
-def test_callers_are_asked_to_leave_the_connections_of_a_leaving_host(play):
-    """Callers keep coming to a host that leaves, until its process is gone.
+def test_answers_of_a_leaving_host_close_the_connections_of_callers(play):
+    """Callers go on sending to a leaving host over connections that are kept open.
 
-    Only streams that began after SIGTERM told them to close the connection.
-    Whole answers and refusals kept it open, so a caller with a kept connection
-    went on using it, and was refused again and again.
+    Guards against a caller that is refused again and again. Refusals and whole answers
+    have to close the connection as well as streams, else the caller goes on using it
+    until the process ends.
     """
 
     async def scenario(world):
@@ -135,21 +141,21 @@
     play(scenario)
 
 
-def test_what_has_no_answer_at_the_end_of_the_host_is_told_so(play):
-    """A target is still at work on a booking when its host's grace time ends.
+def test_a_request_that_has_no_answer_when_the_host_ends_gets_a_final_one(play):
+    """A target still works on a booking when the grace time of the host ends.
 
-    The caller's connection was closed without a word. It may have run, so the
-    caller gets a final answer that promises nothing.
+    Guards against a connection that is closed without an answer. The booking may have
+    run, so the caller gets a final answer that doesn't say that it has not run.
     """
 
     async def scenario(world):
         target = await world.add_target("desk-1")
         target.is_mute = True
         daemon = await world.add_daemon(grace=2)
-        asking = asyncio.create_task(world.ask(daemon, "/once/1", "r1"))
+        request_task = asyncio.create_task(world.ask(daemon, "/once/1", "r1"))
         await target.began.wait()
         daemon.terminate()
-        status, headers, _ = await asking
+        status, headers, _ = await request_task
         assert (status, headers.get("Connection")) == (502, "close")
         assert await daemon.ended() == 0
 
@@ -161,35 +167,35 @@
 
 
 def test_a_host_with_the_shortest_grace_time_answers_before_it_is_killed(play):
-    """A host may be for one second, and callers get no answer at its end.
+    """A host with a grace time of one second has to answer before it is killed.
 
-    Its planned end lay 83 ms before the kill and was looked for every 100 ms, so
-    the process was killed with the answers still to be given.
+    Its planned end is 83 ms before the kill. Guards against a host that checks only
+    every 100 ms whether it has to end, and is killed before it has sent the answers.
     """
 
     async def scenario(world):
         target = await world.add_target("desk-1")
         target.is_mute = True
         daemon = await world.add_daemon(grace=1)
-        asking = asyncio.create_task(world.ask(daemon, "/once/1", "r1"))
+        request_task = asyncio.create_task(world.ask(daemon, "/once/1", "r1"))
         await target.began.wait()
         daemon.terminate()
         kill = asyncio.get_running_loop().call_later(
             1.0, daemon.send_signal, signal.SIGKILL
         )
-        status, _, _ = await asking
+        status, _, _ = await request_task
         kill.cancel()
         assert status == 502
 
     play(scenario)
 
 
-def test_a_host_that_is_told_to_leave_as_it_opens_its_first_port_leaves(play):
-    """A host that has just started is taken back in that moment.
+def test_a_host_that_is_stopped_as_it_opens_its_first_port_leaves(play):
+    """A host is stopped in the moment in which it opens its first port.
 
-    Its ports were open to probes and peers some milliseconds before SIGTERM was
-    listened to. In between SIGTERM ended the process outright, and peers that
-    it had told of itself were left to find out by its silence.
+    Guards against a host that opens its ports some milliseconds before it handles
+    SIGTERM. In between SIGTERM would end the process at once, and peers that know it
+    already would have to detect its end by its silence.
     """
 
     async def scenario(world):
