--- a/packages/daemon/sesamespindle/daemon/relay.py
+++ b/packages/daemon/sesamespindle/daemon/relay.py
@@ -1,4 +1,8 @@
-"""Moving bytes between callers and targets, as the decision logic says."""
+"""The HTTP relay between callers and targets.
+
+`sesamespindle.decide.forwarding` decides where each request is sent and what
+follows; the relay does the network I/O.
+"""
 
 import asyncio
 import contextlib
@@ -14,30 +18,38 @@
 
 _log = logs.part("relay")
 _CHUNK_BYTES = 64 * 1024
-# A target that keeps idle connections for less than this is not trusted with
-# a kept connection: the pool would use it up to its end.
+# A connection is closed after its answer if the target keeps idle connections
+# open for less than this. The connection pool reuses them for up to 4 s, so a
+# request could be sent just as the target closes the connection.
 _SHORTEST_IDLE_SECONDS = 5
 
 
 class _CutOffError(Exception):
-    """The caller's answer has begun and can't be finished."""
+    """The caller has received part of its answer, and the rest can't follow."""
 
     code = "cut_off"
 
 
 class Relay:
-    """Answers callers' requests.
+    """Relays callers' requests to targets, and the targets' answers to callers.
 
     Parameters
     ----------
     driver : sesamespindle.daemon.driver.Driver
-        Has the decision logic.
+        Runs the decision logic.
     dialect : object
-        Reads and writes headers and statuses.
+        Translates headers and statuses, such as the platform's
+        `sesamespindle.platform.dialect.Dialect`. The relay itself knows nothing
+        that is specific to a platform.
     session : aiohttp.ClientSession
-        From `connections.make_session`.
+        Connects to targets; from `connections.make_session`.
     measures : sesamespindle.daemon.measures.Measures
-        Counters and latencies.
+        Receives counters and latencies.
+
+    Attributes
+    ----------
+    in_flight : int
+        The number of requests that have no complete answer yet.
     """
 
     def __init__(self, driver, dialect, session, measures):
@@ -48,20 +60,23 @@
         self._session = session
         self._measures = measures
         self._requests_by_connection = weakref.WeakKeyDictionary()
-        # The time limits of all sends under way.
+        # The timeouts of all sends in flight.
         self._limits = set()
-        # The sends under way whose answer has not begun.
+        # The sends in flight whose answer has not begun, so that they can still
+        # be withdrawn.
         self._send_by_request = {}
         self._is_ending = False
         self.in_flight = 0
         driver.on(sends.Withdraw, self._withdraw)
 
     def end(self):
-        """Give all requests under way their final answers now, as the host ends.
+        """Give all requests in flight their final answers, as the host ends now.
 
-        Guards against callers whose connection is closed without an answer: what
-        has not begun to be answered is refused instead. Nothing is sent any more,
-        also where the host ends before its time because it had nothing to do.
+        Guards against callers whose connection is closed without an answer when
+        the process ends. All sends time out at once: a request whose answer has
+        not begun is refused, and an answer that has begun is cut off. From then
+        on nothing is sent, even if the host ends ahead of schedule because it was
+        idle.
         """
         self._is_ending = True
         self._driver.feed(events.Ends())
@@ -71,7 +86,18 @@
                 limit.reschedule(now)
 
     async def handle(self, http):
-        """Answer one request."""
+        """Answer one request of a caller.
+
+        Parameters
+        ----------
+        http : aiohttp.web.BaseRequest
+            The request.
+
+        Returns
+        -------
+        response : aiohttp.web.StreamResponse
+            What the caller gets; already sent in part or whole if it was streamed.
+        """
         arrived = self._clock.now()
         self._count_on_connection(http)
         self.in_flight += 1
@@ -81,6 +107,7 @@
             self.in_flight -= 1
 
     async def _answer(self, http, arrived):
+        """Answer one request, which arrived at a given time."""
         request = self._dialect.read_request(http, arrived)
         if not request.request_id or self._is_taken(request):
             return self._refuse(http, _without_own_id(request))
@@ -106,22 +133,39 @@
             self._decide(self._forwarding.close, request.request_id)
 
     def _log_cut(self, request, answer, otherwise):
-        """Log why an answer did not come to its end, and how far it had come."""
+        """Log why an answer was not completed, and how much of it was sent.
+
+        Parameters
+        ----------
+        otherwise : str
+            The cause, unless it is the end of this host.
+        """
         cause = "Cut off by the end of this host" if self._is_ending else otherwise
         _log.bind(request=request.request_id).info(
             "{}: {}.", cause, answer.describe(self._clock.now())
         )
 
     def _count_on_connection(self, http):
-        """Count a request on its connection: only kept ones have several."""
+        """Count the requests of each caller's connection, for the log.
+
+        A count above 1 shows that the caller reused a kept-alive connection.
+        """
         counts = self._requests_by_connection
         if http.transport is not None:
             counts[http.transport] = counts.get(http.transport, 0) + 1
 
     def _is_taken(self, request):
+        """Return whether another request in flight has the same id."""
         return request.request_id in self._forwarding.flight_by_request
 
     async def _carry_out(self, http, request, body, command, answer):
+        """Execute commands until the request has its answer; return the response.
+
+        Raises
+        ------
+        _CutOffError
+            If the answer has begun and can't be completed.
+        """
         while True:
             match command:
                 case commands.Refuse():
@@ -138,7 +182,13 @@
                         return answer.response
 
     async def _send(self, http, body, forward, answer):
-        """Send to one target; return what follows, or None after an answer."""
+        """Send a request to one target.
+
+        Returns
+        -------
+        command : sends.Forward, sends.PassOn, commands.Refuse or None
+            What to do next; None once the caller has its complete answer.
+        """
         left = (forward.until - self._clock.now()).total_seconds()
         _log.bind(request=forward.request_id).info(
             "Sent to target {}, attempt {}, {:.0f} ms left. {}",
@@ -148,7 +198,8 @@
             forward.reason,
         )
         if body.is_spent:
-            # A body that has passed through can't be sent again.
+            # The body was streamed to an earlier target without being kept, so it
+            # can't be sent again.
             return self._decide(
                 self._forwarding.timed_out, forward.request_id, sent=True
             )
@@ -170,7 +221,7 @@
 
     @contextlib.asynccontextmanager
     async def _limit(self, seconds):
-        """Limit a send's time, which ends sooner if the host does."""
+        """Limit the time of a send; `end` can make it expire sooner."""
         async with asyncio.timeout(seconds) as limit:
             self._limits.add(limit)
             try:
@@ -179,24 +230,25 @@
                 self._limits.discard(limit)
 
     def _withdraw(self, command):
-        """Carry out a `sends.Withdraw`."""
+        """Execute a `sends.Withdraw`, unless the answer has begun meanwhile."""
         send = self._send_by_request.get(command.request_id)
         if send is not None and send.attempt == command.attempt:
             send.withdraw(command.reason)
 
     def _keep(self, forward):
-        """Have a send withdrawn no more, as its answer is there.
+        """Make a send impossible to withdraw, since its answer has begun.
 
-        Where the host ends, its limit stays as that has set it.
+        A withdrawal that has not taken effect yet is undone. If the host ends
+        now, the send still times out at once.
         """
         send = self._send_by_request.pop(forward.request_id, None)
         if send is not None and not self._is_ending:
             send.keep()
 
     def _after_limit(self, forward, send):
-        """Return what follows a send that was ended before its answer was whole.
+        """Return what follows a send whose timeout expired before its answer ended.
 
-        Its time is over, its host ends, or it was withdrawn.
+        Its deadline has passed, the host ends, or the send was withdrawn.
         """
         if self._is_ending:
             command = self._forwarding.host_ends(forward.request_id)
@@ -215,6 +267,7 @@
         return command
 
     def _log_end(self, forward, how, command):
+        """Log how a send ended, and what follows it."""
         _log.bind(request=forward.request_id).info(
             "The send to target {} ended: {}. Next: {}.",
             forward.target,
@@ -225,12 +278,17 @@
         )
 
     async def _exchange(self, http, body, forward, answer):
-        """Make one exchange with a target.
+        """Send a request to a target and relay the answer.
 
         Returns
         -------
         ending : sends.Ending or None
-            None once the caller has its whole answer.
+            How the send ended; None once the caller has its complete answer.
+
+        Raises
+        ------
+        TimeoutError
+            If the timeout of the whole send expires.
         """
         url = yarl.URL(f"http://{forward.address}{http.raw_path}", encoded=True)
         headers = self._dialect.send_headers(
@@ -263,13 +321,24 @@
             return sends.Ending.LOST
 
     def _patience(self, forward, answer):
+        """Return the timeout for a target's first byte.
+
+        There is none if the caller already has part of the answer from an earlier
+        target.
+        """
         seconds = None
         if forward.patience is not None and answer.response is None:
             seconds = forward.patience.total_seconds()
         return asyncio.timeout(seconds)
 
     async def _take(self, http, forward, response, answer):
-        """Judge a target's answer and pass it on."""
+        """Judge a target's response, and relay it unless the request failed there.
+
+        Returns
+        -------
+        ending : sends.Ending or None
+            As `_exchange` returns it.
+        """
         load = self._dialect.load(response.headers)
         if load is not None:
             self._forwarding.report_load(forward.request_id, load.running, load.waiting)
@@ -280,7 +349,9 @@
         keeps = idle is None or idle >= _SHORTEST_IDLE_SECONDS
         ending = self._dialect.judge(forward, response.status, response.headers)
         if ending is not None:
-            # It is known what has become of it: "not run" must not get lost.
+            # The target has already said what became of the request. A withdrawal
+            # while the rest of its response is read would lose that, for example
+            # that the request was not run.
             self._keep(forward)
         try:
             if ending is sends.Ending.FAILED:
@@ -298,7 +369,16 @@
                 response.close()
 
     async def _pass_plain(self, http, forward, response, answer):
-        """Pass an answer on: judged whole if it is small, as it comes if not."""
+        """Relay an answer that is not a stream of events.
+
+        A small answer is buffered, so that the caller gets nothing of it if the
+        target's connection breaks; a large one is relayed as it arrives.
+
+        Returns
+        -------
+        ending : sends.Ending or None
+            As `_exchange` returns it.
+        """
         self._first_byte(forward)
         protocol = _protocol(response)
         held = bytearray()
@@ -322,6 +402,7 @@
         return None
 
     def _whole(self, response, content):
+        """Return a target's response as the caller gets it, with its whole body."""
         return aiohttp.web.Response(
             status=response.status,
             reason=response.reason,
@@ -330,7 +411,13 @@
         )
 
     async def _read_failure(self, response):
-        """Return a target's own failure, or None if it didn't come whole."""
+        """Return a target's failure response for the caller.
+
+        Returns
+        -------
+        failure : aiohttp.web.Response or None
+            None if the response is incomplete or too large to buffer.
+        """
         protocol = _protocol(response)
         try:
             content = await response.content.read(relayed.HELD_BYTES)
@@ -342,7 +429,16 @@
         return self._whole(response, content)
 
     async def _pass_stream(self, http, forward, response, answer):
-        """Pass events on as they come."""
+        """Relay a stream of server-sent events as they arrive.
+
+        On a route whose streams can be resumed, only whole events are relayed, so
+        that another target can continue after the last one.
+
+        Returns
+        -------
+        ending : sends.Ending or None
+            As `_exchange` returns it.
+        """
         resumes = forward.repeats is routes.Repeats.RESUMABLE
         protocol = _protocol(response)
         answer.cutter.restart()
@@ -372,9 +468,16 @@
     async def _write(self, answer, chunk):
         """Write to the caller.
 
-        Guards against a caller that leaves in the middle of a stream: the
-        library's error for it is of the same kind as a target's, and the
-        request would be sent on to another target for nobody.
+        Guards against retries of a request whose caller left in the middle of a
+        stream. aiohttp raises the same kind of error for a broken connection to
+        the caller as for one to the target, so another target would run the
+        request although no one receives the answer. The conversion to
+        `_CutOffError` keeps the two apart.
+
+        Raises
+        ------
+        _CutOffError
+            If the caller's connection is broken.
         """
         try:
             await answer.response.write(chunk)
@@ -384,7 +487,13 @@
         answer.passed_at = self._clock.now()
 
     def _broken(self, forward, answer):
-        """Return the ending of an answer that broke off."""
+        """Return the ending of a send whose answer broke off.
+
+        Raises
+        ------
+        _CutOffError
+            If the caller has part of the answer and no target can continue it.
+        """
         resumes = forward.repeats is routes.Repeats.RESUMABLE
         if answer.response is not None and not resumes:
             self._decide(self._forwarding.broke_off, forward.request_id)
@@ -392,6 +501,7 @@
         return sends.Ending.LOST
 
     async def _begin(self, http, response, answer):
+        """Send the caller the status and headers of a target's response."""
         answer.response = aiohttp.web.StreamResponse(
             status=response.status,
             reason=response.reason,
@@ -403,10 +513,11 @@
         await self._last_if_leaving(answer.response).prepare(http)
 
     def _last_if_leaving(self, response):
-        """Have the caller's connection closed after an answer of a leaving host.
+        """Close the caller's connection after this response if the host is leaving.
 
-        Guards against callers that stay on a kept connection and go on sending
-        to a host which soon takes nothing that may outlast it.
+        Guards against callers that keep using a kept-alive connection to a leaving
+        host. It soon refuses every request that might not end before the host
+        does; callers that have to connect anew choose another host.
         """
         if self._driver.core.state.leaving:
             response.force_close()
@@ -416,6 +527,7 @@
         return response.content_type == "text/event-stream"
 
     def _first_byte(self, forward):
+        """Record the first byte of an answer; its send is no longer withdrawn."""
         self._keep(forward)
         now = self._clock.now()
         self._forwarding.first_byte(forward.request_id, now)
@@ -430,16 +542,20 @@
             )
 
     def _decide(self, decide, *args, **named):
-        """Call the decision logic, and carry out what it wants besides."""
+        """Call a function of the decision logic and return its result.
+
+        Commands that the call emitted besides are executed too.
+        """
         result = decide(*args, now=self._clock.now(), **named)
         self._driver.feed()
         return result
 
     def _refuse(self, http, refuse):
+        """Return the response for a `commands.Refuse`; count and log it."""
         refusal = self._dialect.refusal(refuse)
         self._measures.refused(refuse.code)
         _log.bind(request=refuse.request_id).info(
-            "Refused: {}, {}. {} Request {} on its connection.",
+            "Refused: {}, {}. {} It is request number {} on its connection.",
             refuse.code,
             refuse.outcome,
             refuse.message,
@@ -451,7 +567,7 @@
         return self._last_if_leaving(response)
 
     def _cut(self, http):
-        """Break the caller's connection, so that its answer can't look whole."""
+        """Abort the caller's connection, so that its answer can't look complete."""
         if http.transport is not None:
             http.transport.abort()
 
@@ -465,20 +581,24 @@
 
 
 def _is_framed(response):
-    """Return whether an answer says itself where it ends."""
+    """Return whether a response marks its own end.
+
+    Otherwise it ends where the connection does, and a reset connection can look
+    like its end.
+    """
     coding = response.headers.get("Transfer-Encoding", "").lower()
     return "Content-Length" in response.headers or "chunked" in coding
 
 
 def _without_own_id(request):
-    """Refuse a request that can't be told from another.
+    """Return the refusal of a request without an id, or with one in use.
 
-    One that bears the id of a request under way is perhaps the same one, so it
-    isn't said that it has not run.
+    A request with the id of one in flight may be a duplicate of it, so the refusal
+    doesn't promise that the request has not run.
     """
     return commands.Refuse(
         request.request_id,
         commands.Code.KEY_REUSED,
         commands.Outcome.UNKNOWN,
-        "The request has no id of its own.",
+        "The request has no id, or the id of another request in flight.",
     )
--- a/packages/daemon/sesamespindle/daemon/relayed.py
+++ b/packages/daemon/sesamespindle/daemon/relayed.py
@@ -1,17 +1,30 @@
-"""What the relay holds of one request: its body, its answer, the send under way."""
+"""State that the relay keeps of one request: body, answer and current send."""
 
 import asyncio
 
 from sesamespindle.daemon import eventstream
 from sesamespindle.decide import fingerprints
 
-# Bodies and answers up to this size are held whole, so that they can be sent
-# again or judged before they are passed on; larger ones pass through.
+# Request bodies and answers up to this size are buffered whole, so that a body can
+# be sent again, and an answer is known to be complete before the caller gets it.
+# Larger ones are streamed.
 HELD_BYTES = 256 * 1024
 
 
 async def read_body(http):
-    """Return the `Body` of a request, held whole if it is small."""
+    """Return the `Body` of a request.
+
+    Parameters
+    ----------
+    http : aiohttp.web.BaseRequest
+        The request.
+
+    Returns
+    -------
+    body : Body
+        Buffered whole if it has at most `HELD_BYTES`; of a larger one only the
+        beginning is read yet.
+    """
     if not http.body_exists:
         return Body(None)
     held = bytearray()
@@ -23,7 +36,20 @@
 
 
 def content_of(http, body):
-    """Return what `fingerprints` make of a request; None if its body isn't held."""
+    """Return the digest by which the same request is recognised when it comes again.
+
+    Parameters
+    ----------
+    http : aiohttp.web.BaseRequest
+        The request.
+    body : Body
+        Its body.
+
+    Returns
+    -------
+    content : bytes or None
+        From `fingerprints.of_content`; None if the body isn't buffered whole.
+    """
     if body.whole is None:
         return None
     path = http.raw_path.encode("utf-8", "surrogateescape")
@@ -31,14 +57,19 @@
 
 
 class Body:
-    """A request's body, held or passing through.
+    """A request's body, buffered or streamed.
 
     Parameters
     ----------
     held : bytes or None
-        The body, or its beginning.
+        The body, or its beginning if `rest` is given; None for no body.
     rest : aiohttp.StreamReader, optional
-        Where the rest comes from, once.
+        The source of the rest, which can be read only once.
+
+    Attributes
+    ----------
+    is_spent : bool
+        Whether a streamed body was handed out, so that it can't be sent again.
     """
 
     def __init__(self, held, rest=None):
@@ -48,11 +79,17 @@
 
     @property
     def whole(self):
-        """The whole body, or None where it passes through."""
+        """The whole body; None if it is streamed."""
         return (self._held or b"") if self._rest is None else None
 
     def content(self):
-        """Return what the HTTP library sends as the body."""
+        """Return the body in a form that aiohttp sends.
+
+        Returns
+        -------
+        content : bytes, async generator of bytes or None
+            A generator for a streamed body; None for no body.
+        """
         if self._rest is None:
             return self._held
         self.is_spent = True
@@ -65,7 +102,21 @@
 
 
 class Answer:
-    """What a caller has got of its answer."""
+    """The progress of the answer to one caller, over all sends of its request.
+
+    Attributes
+    ----------
+    response : aiohttp.web.StreamResponse or None
+        What the caller gets; None before anything was sent.
+    cutter : eventstream.EventCutter
+        Splits the stream of a target into whole events.
+    failure : aiohttp.web.Response or None
+        The last failure response of a target, which may become the final answer.
+    passed_bytes : int
+        Bytes of the answer written to the caller.
+    passed_at : datetime.datetime or None
+        When the last of them were written.
+    """
 
     def __init__(self):
         self.response = None
@@ -75,7 +126,7 @@
         self.passed_at = None
 
     def describe(self, now):
-        """Return how far the answer has come, for the log."""
+        """Return how much of the answer the caller has at `now`, for the log."""
         if self.passed_at is None:
             return "nothing of the answer was passed on"
         silent = (now - self.passed_at).total_seconds() * 1000
@@ -86,35 +137,40 @@
 
 
 class Send:
-    """A send whose answer has not begun, which may be withdrawn.
+    """A send whose answer has not begun, so that it can still be withdrawn.
 
     Parameters
     ----------
     attempt : int
-        Which send of its request it is.
+        Its number among the sends of the request, from 1.
     limit : asyncio.Timeout
-        Ends it.
+        The timeout of the send, which must be running.
+
+    Attributes
+    ----------
+    withdrawn : str
+        Why the send was withdrawn, for the log; empty if it was not.
     """
 
     def __init__(self, attempt, limit):
         self.attempt = attempt
         self._limit = limit
         self._ends_at = limit.when()
-        # Why it is withdrawn, for the log; empty while it isn't.
         self.withdrawn = ""
 
     def withdraw(self, reason):
-        """End it now, unless it ends already."""
+        """Make the send time out at once, unless it has timed out already."""
         if self._limit.expired():
             return
         self.withdrawn = reason
         self._limit.reschedule(asyncio.get_running_loop().time())
 
     def keep(self):
-        """Let it come to its end after all.
+        """Undo a withdrawal whose timeout has not fired yet.
 
-        Guards against an answer that begins in the instant of its withdrawal: its
-        caller would get a beginning without an end.
+        Guards against an answer that is cut off because its first byte and the
+        withdrawal of its send coincide: the caller would get the beginning of an
+        answer without the end. The send gets its former deadline back.
         """
         if self.withdrawn and not self._limit.expired():
             self._limit.reschedule(self._ends_at)
