--- a/packages/daemon/sesamespindle/daemon/relay.py
+++ b/packages/daemon/sesamespindle/daemon/relay.py
@@ -21,7 +21,7 @@
 # A connection is closed after its answer if the target keeps idle connections
 # open for less than this. The connection pool reuses them for up to 4 s, so a
 # request could be sent just as the target closes the connection.
-_SHORTEST_IDLE_SECONDS = 5
+_MIN_IDLE_SECONDS = 5
 
 
 class _CutOffError(Exception):
@@ -61,7 +61,7 @@
         self._measures = measures
         self._requests_by_connection = weakref.WeakKeyDictionary()
         # The timeouts of all sends in flight.
-        self._limits = set()
+        self._send_timeouts = set()
         # The sends in flight whose answer has not begun, so that they can still
         # be withdrawn.
         self._send_by_request = {}
@@ -81,9 +81,9 @@
         self._is_ending = True
         self._driver.feed(events.Ends())
         now = asyncio.get_running_loop().time()
-        for limit in self._limits:
-            if not limit.expired():
-                limit.reschedule(now)
+        for send_timeout in self._send_timeouts:
+            if not send_timeout.expired():
+                send_timeout.reschedule(now)
 
     async def handle(self, http):
         """Answer one request of a caller.
@@ -109,40 +109,42 @@
     async def _answer(self, http, arrived):
         """Answer one request, which arrived at a given time."""
         request = self._dialect.read_request(http, arrived)
-        if not request.request_id or self._is_taken(request):
-            return self._refuse(http, _without_own_id(request))
+        if not request.request_id or self._is_id_in_use(request):
+            return self._refuse(http, _refusal_of_reused_id(request))
         body = await relayed.read_body(http)
-        request = dataclasses.replace(request, content=relayed.content_of(http, body))
-        command = self._decide(self._forwarding.begin, request)
+        request = dataclasses.replace(
+            request, content=relayed.content_digest(http, body)
+        )
+        command = self._call_core(self._forwarding.begin, request)
         answer = relayed.Answer()
         try:
-            return await self._carry_out(http, request, body, command, answer)
+            return await self._execute(http, request, body, command, answer)
         except _CutOffError:
-            self._log_cut(
+            self._log_incomplete(
                 request,
                 answer,
                 "Cut off: the answer had begun, nothing can continue it",
             )
             self._measures.refused("cut_off")
-            self._cut(http)
+            self._abort_connection(http)
             return answer.response
         except asyncio.CancelledError:
-            self._log_cut(request, answer, "The caller has left")
+            self._log_incomplete(request, answer, "The caller has left")
             raise
         finally:
-            self._decide(self._forwarding.close, request.request_id)
+            self._call_core(self._forwarding.close, request.request_id)
 
-    def _log_cut(self, request, answer, otherwise):
+    def _log_incomplete(self, request, answer, default_cause):
         """Log why an answer was not completed, and how much of it was sent.
 
         Parameters
         ----------
-        otherwise : str
+        default_cause : str
             The cause, unless it is the end of this host.
         """
-        cause = "Cut off by the end of this host" if self._is_ending else otherwise
+        cause = "Cut off by the end of this host" if self._is_ending else default_cause
         _log.bind(request=request.request_id).info(
-            "{}: {}.", cause, answer.describe(self._clock.now())
+            "{}: {}.", cause, answer.describe_progress(self._clock.now())
         )
 
     def _count_on_connection(self, http):
@@ -154,11 +156,11 @@
         if http.transport is not None:
             counts[http.transport] = counts.get(http.transport, 0) + 1
 
-    def _is_taken(self, request):
+    def _is_id_in_use(self, request):
         """Return whether another request in flight has the same id."""
         return request.request_id in self._forwarding.flight_by_request
 
-    async def _carry_out(self, http, request, body, command, answer):
+    async def _execute(self, http, request, body, command, answer):
         """Execute commands until the request has its answer; return the response.
 
         Raises
@@ -175,7 +177,7 @@
                 case sends.PassOn():
                     if answer.response is not None:
                         raise _CutOffError
-                    return self._last_if_leaving(answer.failure)
+                    return self._close_if_leaving(answer.failure)
                 case sends.Forward():
                     command = await self._send(http, body, command, answer)
                     if command is None:
@@ -189,45 +191,45 @@
         command : sends.Forward, sends.PassOn, commands.Refuse or None
             What to do next; None once the caller has its complete answer.
         """
-        left = (forward.until - self._clock.now()).total_seconds()
+        seconds_left = (forward.until - self._clock.now()).total_seconds()
         _log.bind(request=forward.request_id).info(
             "Sent to target {}, attempt {}, {:.0f} ms left. {}",
             forward.target,
             forward.attempt,
-            left * 1000,
+            seconds_left * 1000,
             forward.reason,
         )
-        if body.is_spent:
+        if body.is_consumed:
             # The body was streamed to an earlier target without being kept, so it
             # can't be sent again.
-            return self._decide(
+            return self._call_core(
                 self._forwarding.timed_out, forward.request_id, sent=True
             )
         try:
-            async with self._limit(max(left, 0.001)) as limit:
-                send = relayed.Send(forward.attempt, limit)
+            async with self._limit_send_time(max(seconds_left, 0.001)) as send_timeout:
+                send = relayed.Send(forward.attempt, send_timeout)
                 self._send_by_request[forward.request_id] = send
                 ending = await self._exchange(http, body, forward, answer)
         except TimeoutError:
-            return self._after_limit(forward, send)
+            return self._after_timeout(forward, send)
         finally:
             self._send_by_request.pop(forward.request_id, None)
         if ending is None:
             self._forwarding.served(forward.request_id, self._clock.now())
             return None
-        command = self._decide(self._forwarding.ended, forward.request_id, ending)
+        command = self._call_core(self._forwarding.ended, forward.request_id, ending)
         self._log_end(forward, ending.value, command)
         return command
 
     @contextlib.asynccontextmanager
-    async def _limit(self, seconds):
+    async def _limit_send_time(self, seconds):
         """Limit the time of a send; `end` can make it expire sooner."""
-        async with asyncio.timeout(seconds) as limit:
-            self._limits.add(limit)
+        async with asyncio.timeout(seconds) as send_timeout:
+            self._send_timeouts.add(send_timeout)
             try:
-                yield limit
+                yield send_timeout
             finally:
-                self._limits.discard(limit)
+                self._send_timeouts.discard(send_timeout)
 
     def _withdraw(self, command):
         """Execute a `sends.Withdraw`, unless the answer has begun meanwhile."""
@@ -235,7 +237,7 @@
         if send is not None and send.attempt == command.attempt:
             send.withdraw(command.reason)
 
-    def _keep(self, forward):
+    def _prevent_withdrawal(self, forward):
         """Make a send impossible to withdraw, since its answer has begun.
 
         A withdrawal that has not taken effect yet is undone. If the host ends
@@ -243,9 +245,9 @@
         """
         send = self._send_by_request.pop(forward.request_id, None)
         if send is not None and not self._is_ending:
-            send.keep()
+            send.undo_withdrawal()
 
-    def _after_limit(self, forward, send):
+    def _after_timeout(self, forward, send):
         """Return what follows a send whose timeout expired before its answer ended.
 
         Its deadline has passed, the host ends, or the send was withdrawn.
@@ -254,24 +256,24 @@
             command = self._forwarding.host_ends(forward.request_id)
             self._log_end(forward, "host ends", command)
             return command
-        if send.withdrawn:
-            command = self._decide(
+        if send.withdrawal_reason:
+            command = self._call_core(
                 self._forwarding.ended, forward.request_id, sends.Ending.WITHDRAWN
             )
-            self._log_end(forward, f"withdrawn, {send.withdrawn}", command)
+            self._log_end(forward, f"withdrawn, {send.withdrawal_reason}", command)
             return command
-        command = self._decide(
+        command = self._call_core(
             self._forwarding.timed_out, forward.request_id, sent=True
         )
         self._log_end(forward, "timeout", command)
         return command
 
-    def _log_end(self, forward, how, command):
+    def _log_end(self, forward, ending, command):
         """Log how a send ended, and what follows it."""
         _log.bind(request=forward.request_id).info(
             "The send to target {} ended: {}. Next: {}.",
             forward.target,
-            how,
+            ending,
             type(command).__name__
             if not isinstance(command, commands.Refuse)
             else f"{command.code}, {command.outcome}",
@@ -295,18 +297,18 @@
             http, forward, self._clock.now(), answer.cutter.last_id
         )
         try:
-            async with self._patience(forward, answer) as patience:
+            async with self._first_byte_timeout(forward, answer) as first_byte_timeout:
                 response = await self._session.request(
                     http.method,
                     url,
                     headers=headers,
-                    data=body.content(),
+                    data=body.payload(),
                     allow_redirects=False,
                     server_hostname=connections.key_of(forward.target, forward.born),
                 )
                 async with response:
-                    patience.reschedule(None)
-                    return await self._take(http, forward, response, answer)
+                    first_byte_timeout.reschedule(None)
+                    return await self._handle_response(http, forward, response, answer)
         except aiohttp.ClientConnectorError as error:
             if isinstance(error.os_error, ConnectionRefusedError):
                 return sends.Ending.REFUSED
@@ -314,13 +316,13 @@
         except aiohttp.ConnectionTimeoutError:
             return sends.Ending.UNREACHABLE
         except TimeoutError:
-            if not patience.expired():
+            if not first_byte_timeout.expired():
                 raise
             return sends.Ending.SILENT
         except aiohttp.ClientError:
             return sends.Ending.LOST
 
-    def _patience(self, forward, answer):
+    def _first_byte_timeout(self, forward, answer):
         """Return the timeout for a target's first byte.
 
         There is none if the caller already has part of the answer from an earlier
@@ -331,7 +333,7 @@
             seconds = forward.patience.total_seconds()
         return asyncio.timeout(seconds)
 
-    async def _take(self, http, forward, response, answer):
+    async def _handle_response(self, http, forward, response, answer):
         """Judge a target's response, and relay it unless the request failed there.
 
         Returns
@@ -345,14 +347,14 @@
         version = self._dialect.weight_version(response.headers)
         if version is not None:
             self._forwarding.report_version(forward.request_id, version)
-        idle = self._dialect.idle_time(response.headers)
-        keeps = idle is None or idle >= _SHORTEST_IDLE_SECONDS
+        idle_seconds = self._dialect.idle_time(response.headers)
+        is_reusable = idle_seconds is None or idle_seconds >= _MIN_IDLE_SECONDS
         ending = self._dialect.judge(forward, response.status, response.headers)
         if ending is not None:
             # The target has already said what became of the request. A withdrawal
             # while the rest of its response is read would lose that, for example
             # that the request was not run.
-            self._keep(forward)
+            self._prevent_withdrawal(forward)
         try:
             if ending is sends.Ending.FAILED:
                 answer.failure = await self._read_failure(response)
@@ -362,13 +364,13 @@
                     await response.read()
                 return ending
             if forward.streaming and response.status == 200:
-                return await self._pass_stream(http, forward, response, answer)
-            return await self._pass_plain(http, forward, response, answer)
+                return await self._relay_stream(http, forward, response, answer)
+            return await self._relay_plain(http, forward, response, answer)
         finally:
-            if not keeps or ending is sends.Ending.LOST:
+            if not is_reusable or ending is sends.Ending.LOST:
                 response.close()
 
-    async def _pass_plain(self, http, forward, response, answer):
+    async def _relay_plain(self, http, forward, response, answer):
         """Relay an answer that is not a stream of events.
 
         A small answer is buffered, so that the caller gets nothing of it if the
@@ -381,27 +383,29 @@
         """
         self._first_byte(forward)
         protocol = _protocol(response)
-        held = bytearray()
+        buffered = bytearray()
         try:
             async for chunk in response.content.iter_chunked(_CHUNK_BYTES):
                 if answer.response is not None:
                     await self._write(answer, chunk)
                     continue
-                held += chunk
-                if len(held) > relayed.HELD_BYTES:
-                    await self._begin(http, response, answer)
-                    await self._write(answer, bytes(held))
+                buffered += chunk
+                if len(buffered) > relayed.MAX_BUFFERED_BYTES:
+                    await self._start_response(http, response, answer)
+                    await self._write(answer, bytes(buffered))
         except aiohttp.ClientError:
-            return self._broken(forward, answer)
+            return self._ending_of_broken(forward, answer)
         if not _is_framed(response) and _was_reset(protocol):
-            return self._broken(forward, answer)
+            return self._ending_of_broken(forward, answer)
         if answer.response is None:
-            answer.response = self._last_if_leaving(self._whole(response, bytes(held)))
+            answer.response = self._close_if_leaving(
+                self._buffered_response(response, bytes(buffered))
+            )
         else:
             await answer.response.write_eof()
         return None
 
-    def _whole(self, response, content):
+    def _buffered_response(self, response, content):
         """Return a target's response as the caller gets it, with its whole body."""
         return aiohttp.web.Response(
             status=response.status,
@@ -420,15 +424,15 @@
         """
         protocol = _protocol(response)
         try:
-            content = await response.content.read(relayed.HELD_BYTES)
-            whole = response.content.at_eof() or not await response.content.read(1)
+            content = await response.content.read(relayed.MAX_BUFFERED_BYTES)
+            complete = response.content.at_eof() or not await response.content.read(1)
         except aiohttp.ClientError:
             return None
-        if not whole or (not _is_framed(response) and _was_reset(protocol)):
+        if not complete or (not _is_framed(response) and _was_reset(protocol)):
             return None
-        return self._whole(response, content)
+        return self._buffered_response(response, content)
 
-    async def _pass_stream(self, http, forward, response, answer):
+    async def _relay_stream(self, http, forward, response, answer):
         """Relay a stream of server-sent events as they arrive.
 
         On a route whose streams can be resumed, only whole events are relayed, so
@@ -439,29 +443,29 @@
         ending : sends.Ending or None
             As `_exchange` returns it.
         """
-        resumes = forward.repeats is routes.Repeats.RESUMABLE
+        is_resumable = forward.repeats is routes.Repeats.RESUMABLE
         protocol = _protocol(response)
         answer.cutter.restart()
-        first = True
+        is_first = True
         try:
             async for chunk in response.content.iter_any():
-                if first:
-                    first = False
+                if is_first:
+                    is_first = False
                     self._first_byte(forward)
-                if resumes:
+                if is_resumable:
                     chunk = answer.cutter.feed(chunk)
                 if not chunk:
                     continue
                 if answer.response is None:
-                    await self._begin(http, response, answer)
+                    await self._start_response(http, response, answer)
                 await self._write(answer, chunk)
         except aiohttp.ClientError:
-            return self._broken(forward, answer)
-        cut = not _is_framed(response) and _was_reset(protocol)
-        if cut or answer.cutter.has_rest():
-            return self._broken(forward, answer)
+            return self._ending_of_broken(forward, answer)
+        is_cut_off = not _is_framed(response) and _was_reset(protocol)
+        if is_cut_off or answer.cutter.has_rest():
+            return self._ending_of_broken(forward, answer)
         if answer.response is None:
-            await self._begin(http, response, answer)
+            await self._start_response(http, response, answer)
         await answer.response.write_eof()
         return None
 
@@ -483,10 +487,10 @@
             await answer.response.write(chunk)
         except (aiohttp.ClientError, ConnectionError) as error:
             raise _CutOffError from error
-        answer.passed_bytes += len(chunk)
-        answer.passed_at = self._clock.now()
+        answer.relayed_bytes += len(chunk)
+        answer.last_relayed_at = self._clock.now()
 
-    def _broken(self, forward, answer):
+    def _ending_of_broken(self, forward, answer):
         """Return the ending of a send whose answer broke off.
 
         Raises
@@ -494,13 +498,13 @@
         _CutOffError
             If the caller has part of the answer and no target can continue it.
         """
-        resumes = forward.repeats is routes.Repeats.RESUMABLE
-        if answer.response is not None and not resumes:
-            self._decide(self._forwarding.broke_off, forward.request_id)
+        is_resumable = forward.repeats is routes.Repeats.RESUMABLE
+        if answer.response is not None and not is_resumable:
+            self._call_core(self._forwarding.broke_off, forward.request_id)
             raise _CutOffError
         return sends.Ending.LOST
 
-    async def _begin(self, http, response, answer):
+    async def _start_response(self, http, response, answer):
         """Send the caller the status and headers of a target's response."""
         answer.response = aiohttp.web.StreamResponse(
             status=response.status,
@@ -510,9 +514,9 @@
         length = response.headers.get("Content-Length")
         if length is not None and not self._is_stream(response):
             answer.response.content_length = int(length)
-        await self._last_if_leaving(answer.response).prepare(http)
+        await self._close_if_leaving(answer.response).prepare(http)
 
-    def _last_if_leaving(self, response):
+    def _close_if_leaving(self, response):
         """Close the caller's connection after this response if the host is leaving.
 
         Guards against callers that keep using a kept-alive connection to a leaving
@@ -528,7 +532,7 @@
 
     def _first_byte(self, forward):
         """Record the first byte of an answer; its send is no longer withdrawn."""
-        self._keep(forward)
+        self._prevent_withdrawal(forward)
         now = self._clock.now()
         self._forwarding.first_byte(forward.request_id, now)
         flight = self._forwarding.flight_by_request.get(forward.request_id)
@@ -541,12 +545,12 @@
                 waited.total_seconds() * 1000,
             )
 
-    def _decide(self, decide, *args, **named):
+    def _call_core(self, function, *args, **kwargs):
         """Call a function of the decision logic and return its result.
 
         Commands that the call emitted besides are executed too.
         """
-        result = decide(*args, now=self._clock.now(), **named)
+        result = function(*args, now=self._clock.now(), **kwargs)
         self._driver.feed()
         return result
 
@@ -564,9 +568,9 @@
         response = aiohttp.web.Response(
             status=refusal.status, headers=refusal.headers, body=refusal.body
         )
-        return self._last_if_leaving(response)
+        return self._close_if_leaving(response)
 
-    def _cut(self, http):
+    def _abort_connection(self, http):
         """Abort the caller's connection, so that its answer can't look complete."""
         if http.transport is not None:
             http.transport.abort()
@@ -590,7 +594,7 @@
     return "Content-Length" in response.headers or "chunked" in coding
 
 
-def _without_own_id(request):
+def _refusal_of_reused_id(request):
     """Return the refusal of a request without an id, or with one in use.
 
     A request with the id of one in flight may be a duplicate of it, so the refusal
--- a/packages/daemon/sesamespindle/daemon/relayed.py
+++ b/packages/daemon/sesamespindle/daemon/relayed.py
@@ -8,7 +8,7 @@
 # Request bodies and answers up to this size are buffered whole, so that a body can
 # be sent again, and an answer is known to be complete before the caller gets it.
 # Larger ones are streamed.
-HELD_BYTES = 256 * 1024
+MAX_BUFFERED_BYTES = 256 * 1024
 
 
 async def read_body(http):
@@ -22,20 +22,20 @@
     Returns
     -------
     body : Body
-        Buffered whole if it has at most `HELD_BYTES`; of a larger one only the
+        Buffered whole if it has at most `MAX_BUFFERED_BYTES`; of a larger one only the
         beginning is read yet.
     """
     if not http.body_exists:
         return Body(None)
-    held = bytearray()
+    buffered = bytearray()
     async for chunk in http.content.iter_any():
-        held += chunk
-        if len(held) > HELD_BYTES:
-            return Body(bytes(held), http.content)
-    return Body(bytes(held))
+        buffered += chunk
+        if len(buffered) > MAX_BUFFERED_BYTES:
+            return Body(bytes(buffered), http.content)
+    return Body(bytes(buffered))
 
 
-def content_of(http, body):
+def content_digest(http, body):
     """Return the digest by which the same request is recognised when it comes again.
 
     Parameters
@@ -50,10 +50,10 @@
     content : bytes or None
         From `fingerprints.of_content`; None if the body isn't buffered whole.
     """
-    if body.whole is None:
+    if body.complete is None:
         return None
     path = http.raw_path.encode("utf-8", "surrogateescape")
-    return fingerprints.of_content(http.method.encode(), path, body.whole)
+    return fingerprints.of_content(http.method.encode(), path, body.complete)
 
 
 class Body:
@@ -61,42 +61,42 @@
 
     Parameters
     ----------
-    held : bytes or None
+    buffered : bytes or None
         The body, or its beginning if `rest` is given; None for no body.
     rest : aiohttp.StreamReader, optional
         The source of the rest, which can be read only once.
 
     Attributes
     ----------
-    is_spent : bool
+    is_consumed : bool
         Whether a streamed body was handed out, so that it can't be sent again.
     """
 
-    def __init__(self, held, rest=None):
-        self._held = held
+    def __init__(self, buffered, rest=None):
+        self._buffered = buffered
         self._rest = rest
-        self.is_spent = False
+        self.is_consumed = False
 
     @property
-    def whole(self):
+    def complete(self):
         """The whole body; None if it is streamed."""
-        return (self._held or b"") if self._rest is None else None
+        return (self._buffered or b"") if self._rest is None else None
 
-    def content(self):
+    def payload(self):
         """Return the body in a form that aiohttp sends.
 
         Returns
         -------
-        content : bytes, async generator of bytes or None
+        payload : bytes, async generator of bytes or None
             A generator for a streamed body; None for no body.
         """
         if self._rest is None:
-            return self._held
-        self.is_spent = True
-        return self._pass_through()
+            return self._buffered
+        self.is_consumed = True
+        return self._stream()
 
-    async def _pass_through(self):
-        yield self._held
+    async def _stream(self):
+        yield self._buffered
         async for chunk in self._rest.iter_any():
             yield chunk
 
@@ -112,9 +112,9 @@
         Splits the stream of a target into whole events.
     failure : aiohttp.web.Response or None
         The last failure response of a target, which may become the final answer.
-    passed_bytes : int
+    relayed_bytes : int
         Bytes of the answer written to the caller.
-    passed_at : datetime.datetime or None
+    last_relayed_at : datetime.datetime or None
         When the last of them were written.
     """
 
@@ -122,17 +122,17 @@
         self.response = None
         self.cutter = eventstream.EventCutter()
         self.failure = None
-        self.passed_bytes = 0
-        self.passed_at = None
+        self.relayed_bytes = 0
+        self.last_relayed_at = None
 
-    def describe(self, now):
+    def describe_progress(self, now):
         """Return how much of the answer the caller has at `now`, for the log."""
-        if self.passed_at is None:
+        if self.last_relayed_at is None:
             return "nothing of the answer was passed on"
-        silent = (now - self.passed_at).total_seconds() * 1000
+        idle_ms = (now - self.last_relayed_at).total_seconds() * 1000
         return (
-            f"{self.passed_bytes} bytes of the answer were passed on, "
-            f"the last {silent:.0f} ms ago"
+            f"{self.relayed_bytes} bytes of the answer were passed on, "
+            f"the last {idle_ms:.0f} ms ago"
         )
 
 
@@ -143,35 +143,35 @@
     ----------
     attempt : int
         Its number among the sends of the request, from 1.
-    limit : asyncio.Timeout
+    timeout : asyncio.Timeout
         The timeout of the send, which must be running.
 
     Attributes
     ----------
-    withdrawn : str
+    withdrawal_reason : str
         Why the send was withdrawn, for the log; empty if it was not.
     """
 
-    def __init__(self, attempt, limit):
+    def __init__(self, attempt, timeout):
         self.attempt = attempt
-        self._limit = limit
-        self._ends_at = limit.when()
-        self.withdrawn = ""
+        self._timeout = timeout
+        self._ends_at = timeout.when()
+        self.withdrawal_reason = ""
 
     def withdraw(self, reason):
         """Make the send time out at once, unless it has timed out already."""
-        if self._limit.expired():
+        if self._timeout.expired():
             return
-        self.withdrawn = reason
-        self._limit.reschedule(asyncio.get_running_loop().time())
+        self.withdrawal_reason = reason
+        self._timeout.reschedule(asyncio.get_running_loop().time())
 
-    def keep(self):
+    def undo_withdrawal(self):
         """Undo a withdrawal whose timeout has not fired yet.
 
         Guards against an answer that is cut off because its first byte and the
         withdrawal of its send coincide: the caller would get the beginning of an
         answer without the end. The send gets its former deadline back.
         """
-        if self.withdrawn and not self._limit.expired():
-            self._limit.reschedule(self._ends_at)
-            self.withdrawn = ""
+        if self.withdrawal_reason and not self._timeout.expired():
+            self._timeout.reschedule(self._ends_at)
+            self.withdrawal_reason = ""
