--- a/packages/daemon/sesamespindle/daemon/front.py
+++ b/packages/daemon/sesamespindle/daemon/front.py
@@ -1,4 +1,4 @@
-"""The HTTP front towards callers."""
+"""The HTTP API for callers: prompts, calls to plain services, and tickets."""
 
 import asyncio
 import dataclasses
@@ -21,17 +21,19 @@
 
 _log = logs.part("front")
 _MAX_KEY_LENGTH = 2048
+# How long a streamed answer goes on after its caller's connection broke, so that the
+# caller can resume it at another entry.
 _RESUME_GRACE_SECONDS = 3.0
 _REPLAYED_HEADER = "Idempotent-Replayed"
 
 
 class Front:
-    """Answers callers.
+    """Handles callers' HTTP requests.
 
     Parameters
     ----------
     parts : sesamespindle.daemon.assembly.Parts
-        The daemon's parts.
+        The components of the daemon.
     """
 
     def __init__(self, parts):
@@ -41,7 +43,7 @@
         self._left_runs = set()
 
     def application(self):
-        """Return the aiohttp application."""
+        """Return the aiohttp application with all routes and limits."""
         limits = self._settings.limits
         application = aiohttp.web.Application(
             client_max_size=limits.body_bytes,
@@ -62,11 +64,11 @@
 
     @aiohttp.web.middleware
     async def _count(self, request, handler):
-        """Count a request for as long as it is in hand here.
+        """Count a request as in flight until its handler returns.
 
-        Guards against a leaving daemon that waits only for what it runs itself:
-        a call that is passed on to another entry, or a body that still comes
-        in, would be cut off.
+        Guards against a leaving daemon that waits only for the requests that it
+        runs itself, and so cuts off a call that it forwarded to another entry, or
+        a request whose body it still receives. This counter includes both.
         """
         self._parts.in_hand += 1
         try:
@@ -76,7 +78,10 @@
 
     @aiohttp.web.middleware
     async def _answer_errors(self, request, handler):
-        """Turn every error into an answer in the API's form."""
+        """Convert every error into a response in the format of the OpenAI API.
+
+        A leaving daemon also closes the connection after each response.
+        """
         try:
             response = await handler(request)
         except replies.CallerError as error:
@@ -88,14 +93,14 @@
                 error.status, code, f"{request.method} {request.path}: {error.reason}."
             ).to_response()
         except ConnectionError:
-            # The caller is gone; there is nobody to answer.
+            # The caller has disconnected, so no response can be sent.
             raise
         except Exception:
-            _log.exception("Unexpected error.")
+            _log.exception("A request failed with an unexpected error.")
             response = replies.CallerError(
                 500,
                 "internal",
-                "Something went wrong in the entry.",
+                "The entry failed with an unexpected error.",
                 outcome=commands.Outcome.UNKNOWN,
             ).to_response()
         if self._parts.leaving and not response.prepared:
@@ -117,6 +122,7 @@
         )
 
     async def _entries(self, request):
+        """Return the entries that the account should connect to, for some time."""
         account = self._account(request)
         kept_for = self._settings.entries_kept_for.total_seconds()
         chosen = self._driver.core.choose_entries(
@@ -160,6 +166,15 @@
         return await self._answer_prompt(request, bodies.TextBody, is_chat=False)
 
     async def _answer_prompt(self, request, model, is_chat):
+        """Answer a prompt, streamed or in one piece.
+
+        Parameters
+        ----------
+        model : type
+            The class that validates the body.
+        is_chat : bool
+            Whether it is a chat completion, rather than a plain completion.
+        """
         account = self._account(request)
         body = await bodies.read_model(request, self._settings.limits, model)
         prompt, token = self._prompt_request(request, account, body)
@@ -185,6 +200,21 @@
         return await sink.finish(run, spent if wants_usage else None)
 
     def _prompt_request(self, request, account, body):
+        """Return the prompt, and the token of the stream that it resumes.
+
+        Returns
+        -------
+        prompt : prompt_runner.PromptRequest
+            The prompt.
+        token : tokens.StreamToken or None
+            From the Last-Event-ID; None for a new answer.
+
+        Raises
+        ------
+        replies.CallerError
+            If the Last-Event-ID is not a position in a stream of this account and
+            model.
+        """
         text = body.prompt()
         prompt = prompt_runner.PromptRequest(
             self._new_request_id(),
@@ -210,7 +240,14 @@
         return resumed, token
 
     async def _run_prompt(self, prompt, body, token, sink):
-        """Run a prompt and return its `prompt_runner.PromptRun`."""
+        """Run a prompt and return its `prompt_runner.PromptRun`.
+
+        Raises
+        ------
+        replies.CallerError
+            If it failed before any of the answer was sent; later failures are
+            written to the stream.
+        """
         exchange = self._driver.open(prompt.request_id)
         run = prompt_runner.PromptRun(
             self._driver, self._parts.engines, exchange, prompt, sink
@@ -253,10 +290,12 @@
         self._driver.feed(events.CallerLeft(request_id))
 
     def _leave_run(self, prompt, run, can_resume):
-        """Give a caller whose link broke a while to read on at another entry.
+        """Cancel a prompt whose caller has disconnected, after a grace time.
 
-        The slot of the account's limit is held meanwhile, so that the engine
-        never has more streams of the account than the contract allows.
+        Within the grace time the caller can resume the stream at another entry.
+        The prompt keeps its slot of the account's limit until the engine has
+        stopped it, so that engines never run more streams of the account than its
+        contract allows.
         """
         self._driver.close(prompt.request_id)
         grace = _RESUME_GRACE_SECONDS if can_resume else 0.0
@@ -276,7 +315,7 @@
             raise replies.CallerError(
                 503,
                 commands.Code.SHUTTING_DOWN,
-                "The entry is leaving and mints no more tickets.",
+                "The entry is leaving and issues no more tickets.",
                 self._settings.policy.retry_after,
             )
         expires_at = self._driver.clock.now() + self._settings.ticket_lifetime
@@ -293,6 +332,7 @@
         )
 
     async def _service_call(self, request):
+        """Call a plain service for the caller and return its answer."""
         account = self._account(request)
         raw = await bodies.read(request, self._settings.limits)
         key = request.headers.get("Idempotency-Key", "")
@@ -322,6 +362,7 @@
         )
 
     async def _make_call(self, account, pool, call):
+        """Make a call, which may be keyed by the caller, by a ticket or not at all."""
         if not call.key.startswith(tokens.TICKET_PREFIX):
             kind = events.KeyKind.CALLER if call.key else events.KeyKind.NONE
             arrival = self._arrival(account, pool, call, kind)
@@ -334,21 +375,35 @@
         )
 
     def _account(self, request):
-        """Return the account of a request's key; nothing runs without one."""
+        """Return the account of a request's API key.
+
+        Raises
+        ------
+        replies.CallerError
+            If the key is missing or unknown.
+        """
         account = self._parts.keyring.account_of(
             request.headers.get("Authorization", "")
         )
         if account is None:
-            raise replies.CallerError(
-                401, "invalid_api_key", "The API key is not known."
-            )
+            raise replies.CallerError(401, "invalid_api_key", "The API key is unknown.")
         return account
 
     def _new_request_id(self):
         return f"{self._settings.name}-{secrets.token_hex(6)}"
 
     def note_first_token(self, prompt, started, waited):
-        """Record the time to first token of a prompt."""
+        """Record the time to first token of a prompt.
+
+        Parameters
+        ----------
+        prompt : prompt_runner.PromptRequest
+            The prompt.
+        started : sesamespindle.wire.engine.Started or None
+            What the engine reported at the start; None records no metric.
+        waited : float
+            Seconds since the prompt arrived.
+        """
         self._driver.event_log.add(
             "first_token", prompt.request_id, f"after {waited * 1000:.0f} ms"
         )
@@ -357,33 +412,37 @@
 
     @property
     def leaving(self):
-        """Return whether this entry leaves."""
+        """Whether this entry is leaving."""
         return self._parts.leaving
 
     @property
     def signer(self):
-        """Return the signer of positions."""
+        """The `tokens.Signer` for positions in streams."""
         return self._parts.signer
 
     @property
     def clock(self):
-        """Return the clock."""
+        """The `sesamespindle.wire.clock.Clock` of the daemon."""
         return self._driver.clock
 
 
 async def _content(request):
-    """Return what `fingerprints` make of a request whose body was read."""
+    """Return the digest by which the same request is recognised when it comes again.
+
+    It covers method, path and body.
+    """
     path = request.raw_path.encode("utf-8", "surrogateescape")
     return fingerprints.of_content(request.method.encode(), path, await request.read())
 
 
 def _unknown_stream():
     return replies.CallerError(
-        404, "unknown_stream", "The Last-Event-ID names no stream."
+        404, "unknown_stream", "The Last-Event-ID identifies no known stream."
     )
 
 
 def _model_value(model):
+    """Return a model in the format of the OpenAI API."""
     return {
         "id": model.name,
         "object": "model",
--- a/packages/daemon/sesamespindle/daemon/replies.py
+++ b/packages/daemon/sesamespindle/daemon/replies.py
@@ -1,4 +1,4 @@
-"""Answers to callers in the forms of the OpenAI API."""
+"""Responses to callers in the format of the OpenAI API."""
 
 import json
 import math
@@ -36,18 +36,22 @@
 
 
 class CallerError(Exception):
-    """A request that gets an error, after which nothing of it runs.
+    """An error that is the final answer to a caller's request.
 
     Parameters
     ----------
     status : int
         The HTTP status.
     code : str
-        Our code.
+        The error code: a `commands.Code`, or one that only the HTTP API uses.
+    message : str
+        The description for the caller.
     retry_after : datetime.timedelta, optional
-        When to come back.
+        How long the caller should wait before it retries.
     outcome : commands.Outcome
-        What the caller may rely on.
+        Whether the request has certainly not run, or may have run.
+    param : str, optional
+        The field of the body that the error is about.
     """
 
     def __init__(
@@ -68,7 +72,7 @@
         self.param = param
 
     def to_value(self):
-        """Return the error as the body of an answer."""
+        """Return the error as the JSON object of a response body."""
         retry_after = None
         if self.retry_after is not None:
             retry_after = round(self.retry_after.total_seconds(), 3)
@@ -87,7 +91,11 @@
         }
 
     def to_response(self):
-        """Return the error as a whole answer."""
+        """Return the error as an `aiohttp.web.Response`.
+
+        The Retry-After header is in whole seconds, at least 1; the body has it to
+        the millisecond.
+        """
         headers = {OUTCOME_HEADER: self.outcome.value}
         if self.retry_after is not None:
             seconds = math.ceil(self.retry_after.total_seconds())
@@ -98,7 +106,7 @@
 
 
 def of_refusal(refusal):
-    """Return the `CallerError` of a `commands.Refuse`."""
+    """Return the `CallerError` for a `commands.Refuse`."""
     return CallerError(
         _STATUS_BY_CODE[refusal.code],
         refusal.code.value,
@@ -109,7 +117,7 @@
 
 
 class AnswerForm:
-    """Builds the objects of one answer, for chats or plain completions.
+    """Builds the JSON objects of one answer, for a chat or a plain completion.
 
     Parameters
     ----------
@@ -117,8 +125,10 @@
         Whether the caller asked for a chat completion.
     answer_id : str
         The id that all objects of the answer carry.
+    model : str
+        The model's name.
     created : int
-        Seconds since the epoch.
+        When the answer was created, in seconds since the epoch.
     """
 
     def __init__(self, is_chat, answer_id, model, created):
@@ -129,18 +139,18 @@
         self._chunk_head, self._chunk_tail = self._chunk_frame()
 
     def chunk(self, text):
-        """Return one token of a stream as JSON text."""
+        """Return the chunk for one token of a stream, as JSON text."""
         return f"{self._chunk_head}{json.dumps(text)}{self._chunk_tail}"
 
     def first_chunk(self):
-        """Return the chunk that names the role, or None where there is none."""
+        """Return the chunk with the role as JSON text; None for a plain completion."""
         if not self._is_chat:
             return None
         delta = {"role": "assistant", "content": ""}
         return self._object_text([{"index": 0, "delta": delta, "finish_reason": None}])
 
     def last_chunk(self, finish_reason):
-        """Return the chunk that ends a stream."""
+        """Return the chunk that ends the choices of a stream, as JSON text."""
         if self._is_chat:
             choice = {"index": 0, "delta": {}, "finish_reason": finish_reason}
         else:
@@ -148,11 +158,11 @@
         return self._object_text([choice])
 
     def usage_chunk(self, usage):
-        """Return the chunk that carries the usage."""
+        """Return the chunk with the token usage, as JSON text."""
         return self._object_text([], usage)
 
     def whole(self, text, finish_reason, usage):
-        """Return the answer of a request that is not streamed."""
+        """Return the JSON object of an answer that is not streamed."""
         if self._is_chat:
             content = {"message": {"role": "assistant", "content": text}}
         else:
@@ -163,6 +173,10 @@
         return value
 
     def _chunk_frame(self):
+        """Return the JSON text before and after the token of a chunk.
+
+        Only the token differs between chunks, so the rest is serialised once.
+        """
         marker = "\0"
         if self._is_chat:
             choice = {"index": 0, "delta": {"content": marker}, "finish_reason": None}
@@ -188,7 +202,15 @@
 
 
 def usage(prompt_tokens, answer_tokens, started):
-    """Return the usage of an answer; `started` may be None."""
+    """Return the token usage of an answer as a JSON object.
+
+    Parameters
+    ----------
+    prompt_tokens, answer_tokens : int
+        Tokens of the prompt, and tokens of the answer that the caller received.
+    started : sesamespindle.wire.engine.Started or None
+        What the engine reported of its KV cache; None if no engine reported.
+    """
     cached = 0
     imported = 0
     if started is not None:
--- a/packages/daemon/sesamespindle/daemon/sinks.py
+++ b/packages/daemon/sesamespindle/daemon/sinks.py
@@ -1,4 +1,8 @@
-"""Giving answers to callers: whole, or as server-sent events."""
+"""Delivery of answers to callers: in one piece, or as server-sent events.
+
+A `prompt_runner.PromptRun` calls ``begin`` for each stream that it reads from an
+engine, and ``take`` for each piece of the answer.
+"""
 
 import aiohttp.web
 
@@ -6,7 +10,22 @@
 
 
 class WholeSink:
-    """Takes an answer that is given to the caller in one piece."""
+    """Records the progress of an answer that the caller gets in one piece.
+
+    Parameters
+    ----------
+    front : sesamespindle.daemon.front.Front
+        Supplies the clock and records the time to first token.
+    prompt : prompt_runner.PromptRequest
+        The prompt.
+
+    Attributes
+    ----------
+    prepared : bool
+        False, as nothing is sent before the answer is complete.
+    target : str
+        The engine that was read last; empty before the first.
+    """
 
     prepared = False
 
@@ -18,7 +37,7 @@
         self.target = ""
 
     async def begin(self, target, stream, version):
-        """Note the target of a stream, and the first token's time."""
+        """Record the target of a stream, and the time to first token."""
         self.target = target
         if self._first:
             self._first = False
@@ -26,13 +45,27 @@
             self._front.note_first_token(self._prompt, None, waited.total_seconds())
 
     async def take(self, piece):
-        """Do nothing: the run keeps the text."""
+        """Ignore a piece, as the `prompt_runner.PromptRun` collects the text."""
 
 
 class StreamSink:
     """Writes an answer to the caller as server-sent events.
 
-    Each event's id is a position from which any entry can read on.
+    The id of each event is a signed position, from which the caller can resume the
+    answer at any entry.
+
+    Parameters
+    ----------
+    front : sesamespindle.daemon.front.Front
+        Supplies clock and signer, and records the time to first token.
+    request : aiohttp.web.Request
+        The caller's request.
+    prompt : prompt_runner.PromptRequest
+        The prompt.
+    form : replies.AnswerForm
+        Builds the data of the events.
+    answer_id : str
+        The id of the answer, which also goes into the positions.
     """
 
     def __init__(self, front, request, prompt, form, answer_id):
@@ -48,11 +81,21 @@
 
     @property
     def prepared(self):
-        """Return whether the caller has the start of the answer."""
+        """Whether the headers of the response have been sent."""
         return self._response.prepared
 
     async def begin(self, target, stream, version):
-        """Begin the response, or go on with another stream's positions."""
+        """Start the response; if it has started, only switch to a new stream's ids.
+
+        Parameters
+        ----------
+        target : str
+            The engine that sends the stream.
+        stream : str
+            The id of the stream.
+        version : str
+            The weight version that generates it.
+        """
         token = tokens.StreamToken(
             self._prompt.account,
             self._prompt.model,
@@ -73,7 +116,7 @@
             await self._write(0, first)
 
     async def take(self, piece):
-        """Write one piece of the answer."""
+        """Write one `streams.Piece` of the answer; `finish` writes the end."""
         if not self._response.prepared:
             await self._begin_resumed()
         if piece.last:
@@ -81,7 +124,11 @@
         await self._write(piece.sequence, self._form.chunk(piece.text))
 
     async def _begin_resumed(self):
-        """Begin a response to a caller that reads on."""
+        """Start the response to a caller that resumes a stream.
+
+        The engine doesn't announce a resumed stream again, so target, stream and
+        version come from the caller's Last-Event-ID.
+        """
         token, _ = self._front.signer.read_position(
             self._request.headers["Last-Event-ID"], self._prompt.account
         )
@@ -89,12 +136,13 @@
         await self._prepare()
 
     async def _prepare(self):
-        """Send the head of the response.
+        """Send the headers of the response.
 
-        Guards against callers that keep the connections of a leaving entry and
-        come back over them until its process ends. An answer that has begun
-        before is left alone: its caller wasn't told and may send the next
-        request just when the connection is closed.
+        Guards against callers that reuse kept-alive connections to a leaving entry
+        until its process ends: the headers announce that the connection closes
+        after this response. If they were sent before the entry began to leave, the
+        connection stays open, since the caller doesn't expect it to close and
+        might send its next request at that very moment.
         """
         if self._front.leaving:
             self._response.force_close()
@@ -107,7 +155,15 @@
         await self._response.write(text.encode())
 
     async def finish(self, run, spent):
-        """Write the end of the answer and return the response."""
+        """Write the end of the answer and return the response.
+
+        Parameters
+        ----------
+        run : prompt_runner.PromptRun
+            The run, which has ended.
+        spent : dict or None
+            The usage, from `replies.usage`, if the caller asked for it.
+        """
         if self._failed:
             return self._response
         await self._write(run.delivered, self._form.last_chunk(run.finish_reason))
@@ -118,7 +174,7 @@
         return self._response
 
     async def fail(self, error):
-        """Write an error into an answer that has begun."""
+        """End an answer that has begun with a `replies.CallerError`."""
         self._failed = True
         text = f"data: {aiohttp.web.json_response(error.to_value()).text}\n\n"
         await self._response.write(text.encode())
