--- a/packages/daemon/sesamespindle/daemon/call_runner.py
+++ b/packages/daemon/sesamespindle/daemon/call_runner.py
@@ -72,7 +72,7 @@
                 command = await exchange.next()
                 match command:
                     case commands.Refuse():
-                        raise replies.of_refusal(command)
+                        raise replies.from_refusal(command)
                     case commands.ReplyStored():
                         return CallReply(command.answer, command.replayed)
                     case commands.SendCall():
--- a/packages/daemon/sesamespindle/daemon/front.py
+++ b/packages/daemon/sesamespindle/daemon/front.py
@@ -40,14 +40,14 @@
         self._parts = parts
         self._settings = parts.settings
         self._driver = parts.driver
-        self._left_runs = set()
+        self._detached_runs = set()
 
     def application(self):
         """Return the aiohttp application with all routes and limits."""
         limits = self._settings.limits
         application = aiohttp.web.Application(
             client_max_size=limits.body_bytes,
-            middlewares=[self._count, self._answer_errors],
+            middlewares=[self._count_in_flight, self._answer_errors],
         )
         route = application.router
         route.add_get("/healthz", self._healthz)
@@ -63,7 +63,7 @@
         return application
 
     @aiohttp.web.middleware
-    async def _count(self, request, handler):
+    async def _count_in_flight(self, request, handler):
         """Count a request as in flight until its handler returns.
 
         Guards against a leaving daemon that waits only for the requests that it
@@ -123,8 +123,8 @@
 
     async def _entries(self, request):
         """Return the entries that the account should connect to, for some time."""
-        account = self._account(request)
-        kept_for = self._settings.entries_kept_for.total_seconds()
+        account = self._authenticate(request)
+        keep_seconds = self._settings.entries_kept_for.total_seconds()
         chosen = self._driver.core.choose_entries(
             account, self._settings.entries_per_account
         )
@@ -138,23 +138,23 @@
                     }
                     for entry in chosen
                 ],
-                "keep_seconds": kept_for,
+                "keep_seconds": keep_seconds,
             }
         )
 
     async def _models(self, request):
-        account = self._account(request)
+        account = self._authenticate(request)
         models = self._driver.core.models_of(account)
         return aiohttp.web.json_response(
-            {"object": "list", "data": [_model_value(model) for model in models]}
+            {"object": "list", "data": [_model_object(model) for model in models]}
         )
 
     async def _model(self, request):
-        account = self._account(request)
+        account = self._authenticate(request)
         name = request.match_info["model"]
         for model in self._driver.core.models_of(account):
             if model.name == name:
-                return aiohttp.web.json_response(_model_value(model))
+                return aiohttp.web.json_response(_model_object(model))
         raise replies.CallerError(
             404, commands.Code.UNKNOWN_MODEL, f"There is no model {name!r}."
         )
@@ -165,39 +165,39 @@
     async def _completion(self, request):
         return await self._answer_prompt(request, bodies.TextBody, is_chat=False)
 
-    async def _answer_prompt(self, request, model, is_chat):
+    async def _answer_prompt(self, request, body_class, is_chat):
         """Answer a prompt, streamed or in one piece.
 
         Parameters
         ----------
-        model : type
+        body_class : type
             The class that validates the body.
         is_chat : bool
             Whether it is a chat completion, rather than a plain completion.
         """
-        account = self._account(request)
-        body = await bodies.read_model(request, self._settings.limits, model)
+        account = self._authenticate(request)
+        body = await bodies.read_model(request, self._settings.limits, body_class)
         prompt, token = self._prompt_request(request, account, body)
-        prompt = dataclasses.replace(prompt, content=await _content(request))
+        prompt = dataclasses.replace(prompt, content=await _content_digest(request))
         answer_id = token.answer_id if token else f"cmpl-{prompt.request_id}"
-        form = replies.AnswerForm(
+        formatter = replies.AnswerFormatter(
             is_chat, answer_id, body.model, int(self._driver.clock.now().timestamp())
         )
         if token and not body.stream:
             raise replies.CallerError(
                 400, "invalid_request", "Only a streamed answer can be resumed."
             )
-        sink = sinks.StreamSink(self, request, prompt, form, answer_id)
+        sink = sinks.StreamSink(self, request, prompt, formatter, answer_id)
         if not body.stream:
-            sink = sinks.WholeSink(self, prompt)
+            sink = sinks.NonStreamingSink(self, prompt)
         run = await self._run_prompt(prompt, body, token, sink)
-        spent = replies.usage(prompt.prompt_tokens, run.delivered, run.started)
+        token_usage = replies.usage(prompt.prompt_tokens, run.delivered, run.started)
         if not body.stream:
-            value = form.whole(run.text, run.finish_reason, spent)
+            value = formatter.complete_answer(run.text, run.finish_reason, token_usage)
             headers = {"X-Sesamespindle-Target": sink.target}
             return aiohttp.web.json_response(value, headers=headers)
         wants_usage = body.stream_options and body.stream_options.include_usage
-        return await sink.finish(run, spent if wants_usage else None)
+        return await sink.finish(run, token_usage if wants_usage else None)
 
     def _prompt_request(self, request, account, body):
         """Return the prompt, and the token of the stream that it resumes.
@@ -277,10 +277,10 @@
             self._end_run(prompt.request_id)
             if not sink.prepared:
                 raise
-            await sink.fail(error)
+            await sink.finish_with_error(error)
             return run
         except (asyncio.CancelledError, ConnectionError):
-            self._leave_run(prompt, run, can_resume=sink.prepared)
+            self._detach_run(prompt, run, can_resume=sink.prepared)
             raise
         self._end_run(prompt.request_id)
         return run
@@ -289,7 +289,7 @@
         self._driver.close(request_id)
         self._driver.feed(events.CallerLeft(request_id))
 
-    def _leave_run(self, prompt, run, can_resume):
+    def _detach_run(self, prompt, run, can_resume):
         """Cancel a prompt whose caller has disconnected, after a grace time.
 
         Within the grace time the caller can resume the stream at another entry.
@@ -300,8 +300,8 @@
         self._driver.close(prompt.request_id)
         grace = _RESUME_GRACE_SECONDS if can_resume else 0.0
         task = asyncio.create_task(self._cancel_later(prompt.request_id, run, grace))
-        self._left_runs.add(task)
-        task.add_done_callback(self._left_runs.discard)
+        self._detached_runs.add(task)
+        task.add_done_callback(self._detached_runs.discard)
 
     async def _cancel_later(self, request_id, run, grace):
         await asyncio.sleep(grace)
@@ -309,7 +309,7 @@
         self._driver.feed(events.CallerLeft(request_id))
 
     async def _ticket(self, request):
-        account = self._account(request)
+        account = self._authenticate(request)
         await bodies.read(request, self._settings.limits)
         if self._parts.leaving:
             raise replies.CallerError(
@@ -333,7 +333,7 @@
 
     async def _service_call(self, request):
         """Call a plain service for the caller and return its answer."""
-        account = self._account(request)
+        account = self._authenticate(request)
         raw = await bodies.read(request, self._settings.limits)
         key = request.headers.get("Idempotency-Key", "")
         if len(key) > _MAX_KEY_LENGTH:
@@ -374,7 +374,7 @@
             self._driver, account, pool, call, kind, self._settings.policy.call_timeout
         )
 
-    def _account(self, request):
+    def _authenticate(self, request):
         """Return the account of a request's API key.
 
         Raises
@@ -392,7 +392,7 @@
     def _new_request_id(self):
         return f"{self._settings.name}-{secrets.token_hex(6)}"
 
-    def note_first_token(self, prompt, started, waited):
+    def record_first_token(self, prompt, started, seconds):
         """Record the time to first token of a prompt.
 
         Parameters
@@ -401,14 +401,14 @@
             The prompt.
         started : sesamespindle.wire.engine.Started or None
             What the engine reported at the start; None records no metric.
-        waited : float
+        seconds : float
             Seconds since the prompt arrived.
         """
         self._driver.event_log.add(
-            "first_token", prompt.request_id, f"after {waited * 1000:.0f} ms"
+            "first_token", prompt.request_id, f"after {seconds * 1000:.0f} ms"
         )
         if started is not None:
-            self._parts.metrics.first_token(prompt.account, waited * 1000, started)
+            self._parts.metrics.first_token(prompt.account, seconds * 1000, started)
 
     @property
     def leaving(self):
@@ -426,7 +426,7 @@
         return self._driver.clock
 
 
-async def _content(request):
+async def _content_digest(request):
     """Return the digest by which the same request is recognised when it comes again.
 
     It covers method, path and body.
@@ -441,7 +441,7 @@
     )
 
 
-def _model_value(model):
+def _model_object(model):
     """Return a model in the format of the OpenAI API."""
     return {
         "id": model.name,
--- a/packages/daemon/sesamespindle/daemon/prompt_runner.py
+++ b/packages/daemon/sesamespindle/daemon/prompt_runner.py
@@ -53,8 +53,8 @@
     engines : sesamespindle.wire.engine.EngineClient
         How engines are reached.
     sink : object
-        Gets the answer by ``begin(target, stream, version)`` for each stream
-        and ``take(piece)`` for each piece, in order and each once.
+        Gets the answer by ``begin_stream(target, stream, version)`` for each
+        stream and ``add_piece(piece)`` for each piece, in order and each once.
     """
 
     def __init__(self, driver, engines, exchange, request, sink):
@@ -117,7 +117,7 @@
     async def _carry_out(self, command):
         match command:
             case commands.Refuse():
-                raise replies.of_refusal(command)
+                raise replies.from_refusal(command)
             case commands.SendPrompt():
                 await self._attempt(command, self._start(command))
             case commands.ResumeStream():
@@ -142,7 +142,7 @@
         command = await self._exchange.next()
         while not isinstance(command, commands.Refuse):
             command = await self._exchange.next()
-        raise replies.of_refusal(command)
+        raise replies.from_refusal(command)
 
     def _attempt_number(self):
         row = self._driver.core.prompts.rows.get(self._request.request_id)
@@ -219,7 +219,7 @@
                 self.finish_reason = piece.finish_reason
             else:
                 self._text.append(piece.text)
-            await self._sink.take(piece)
+            await self._sink.add_piece(piece)
 
     async def _take_start(self, item):
         if self.started is None:
@@ -231,4 +231,6 @@
                 item.computed_tokens,
             )
         )
-        await self._sink.begin(self._target, self._reassembly.stream, item.version)
+        await self._sink.begin_stream(
+            self._target, self._reassembly.stream, item.version
+        )
--- a/packages/daemon/sesamespindle/daemon/replies.py
+++ b/packages/daemon/sesamespindle/daemon/replies.py
@@ -76,13 +76,13 @@
         retry_after = None
         if self.retry_after is not None:
             retry_after = round(self.retry_after.total_seconds(), 3)
-        kind = _TYPE_BY_STATUS.get(
+        error_type = _TYPE_BY_STATUS.get(
             self.status, "server_error" if self.status >= 500 else "invalid_request"
         )
         return {
             "error": {
                 "message": self.message,
-                "type": kind,
+                "type": error_type,
                 "param": self.param,
                 "code": self.code,
                 "outcome": self.outcome.value,
@@ -105,7 +105,7 @@
         )
 
 
-def of_refusal(refusal):
+def from_refusal(refusal):
     """Return the `CallerError` for a `commands.Refuse`."""
     return CallerError(
         _STATUS_BY_CODE[refusal.code],
@@ -116,7 +116,7 @@
     )
 
 
-class AnswerForm:
+class AnswerFormatter:
     """Builds the JSON objects of one answer, for a chat or a plain completion.
 
     Parameters
@@ -147,7 +147,7 @@
         if not self._is_chat:
             return None
         delta = {"role": "assistant", "content": ""}
-        return self._object_text([{"index": 0, "delta": delta, "finish_reason": None}])
+        return self._serialize([{"index": 0, "delta": delta, "finish_reason": None}])
 
     def last_chunk(self, finish_reason):
         """Return the chunk that ends the choices of a stream, as JSON text."""
@@ -155,20 +155,20 @@
             choice = {"index": 0, "delta": {}, "finish_reason": finish_reason}
         else:
             choice = {"index": 0, "text": "", "finish_reason": finish_reason}
-        return self._object_text([choice])
+        return self._serialize([choice])
 
     def usage_chunk(self, usage):
         """Return the chunk with the token usage, as JSON text."""
-        return self._object_text([], usage)
+        return self._serialize([], usage)
 
-    def whole(self, text, finish_reason, usage):
+    def complete_answer(self, text, finish_reason, usage):
         """Return the JSON object of an answer that is not streamed."""
         if self._is_chat:
             content = {"message": {"role": "assistant", "content": text}}
         else:
             content = {"text": text}
         choice = {"index": 0, "finish_reason": finish_reason, "logprobs": None}
-        value = self._object("chat.completion", [choice | content])
+        value = self._make_object("chat.completion", [choice | content])
         value["usage"] = usage
         return value
 
@@ -182,19 +182,19 @@
             choice = {"index": 0, "delta": {"content": marker}, "finish_reason": None}
         else:
             choice = {"index": 0, "text": marker, "finish_reason": None}
-        head, tail = self._object_text([choice]).split(json.dumps(marker))
+        head, tail = self._serialize([choice]).split(json.dumps(marker))
         return head, tail
 
-    def _object_text(self, choices, usage=None):
-        value = self._object("chat.completion.chunk", choices)
+    def _serialize(self, choices, usage=None):
+        value = self._make_object("chat.completion.chunk", choices)
         if usage is not None:
             value["usage"] = usage
         return json.dumps(value)
 
-    def _object(self, chat_name, choices):
+    def _make_object(self, chat_object_type, choices):
         return {
             "id": self._id,
-            "object": chat_name if self._is_chat else "text_completion",
+            "object": chat_object_type if self._is_chat else "text_completion",
             "created": self._created,
             "model": self._model,
             "choices": choices,
--- a/packages/daemon/sesamespindle/daemon/sinks.py
+++ b/packages/daemon/sesamespindle/daemon/sinks.py
@@ -1,7 +1,7 @@
 """Delivery of answers to callers: in one piece, or as server-sent events.
 
-A `prompt_runner.PromptRun` calls ``begin`` for each stream that it reads from an
-engine, and ``take`` for each piece of the answer.
+A `prompt_runner.PromptRun` calls ``begin_stream`` for each stream that it reads from an
+engine, and ``add_piece`` for each piece of the answer.
 """
 
 import aiohttp.web
@@ -9,7 +9,7 @@
 from sesamespindle.daemon import tokens
 
 
-class WholeSink:
+class NonStreamingSink:
     """Records the progress of an answer that the caller gets in one piece.
 
     Parameters
@@ -36,15 +36,15 @@
         self._first = True
         self.target = ""
 
-    async def begin(self, target, stream, version):
+    async def begin_stream(self, target, stream, version):
         """Record the target of a stream, and the time to first token."""
         self.target = target
         if self._first:
             self._first = False
-            waited = self._front.clock.now() - self._arrived_at
-            self._front.note_first_token(self._prompt, None, waited.total_seconds())
+            elapsed = self._front.clock.now() - self._arrived_at
+            self._front.record_first_token(self._prompt, None, elapsed.total_seconds())
 
-    async def take(self, piece):
+    async def add_piece(self, piece):
         """Ignore a piece, as the `prompt_runner.PromptRun` collects the text."""
 
 
@@ -62,17 +62,17 @@
         The caller's request.
     prompt : prompt_runner.PromptRequest
         The prompt.
-    form : replies.AnswerForm
+    formatter : replies.AnswerFormatter
         Builds the data of the events.
     answer_id : str
         The id of the answer, which also goes into the positions.
     """
 
-    def __init__(self, front, request, prompt, form, answer_id):
+    def __init__(self, front, request, prompt, formatter, answer_id):
         self._front = front
         self._request = request
         self._prompt = prompt
-        self._form = form
+        self._formatter = formatter
         self._answer_id = answer_id
         self._arrived_at = front.clock.now()
         self._response = aiohttp.web.StreamResponse()
@@ -84,7 +84,7 @@
         """Whether the headers of the response have been sent."""
         return self._response.prepared
 
-    async def begin(self, target, stream, version):
+    async def begin_stream(self, target, stream, version):
         """Start the response; if it has started, only switch to a new stream's ids.
 
         Parameters
@@ -107,23 +107,23 @@
         self._position = self._front.signer.stream_signer(token)
         if self._response.prepared:
             return
-        waited = self._front.clock.now() - self._arrived_at
-        self._front.note_first_token(self._prompt, None, waited.total_seconds())
+        elapsed = self._front.clock.now() - self._arrived_at
+        self._front.record_first_token(self._prompt, None, elapsed.total_seconds())
         self._response.headers["X-Sesamespindle-Target"] = target
-        await self._prepare()
-        first = self._form.first_chunk()
+        await self._send_headers()
+        first = self._formatter.first_chunk()
         if first is not None and not self._prompt.resume_stream:
             await self._write(0, first)
 
-    async def take(self, piece):
+    async def add_piece(self, piece):
         """Write one `streams.Piece` of the answer; `finish` writes the end."""
         if not self._response.prepared:
-            await self._begin_resumed()
+            await self._begin_resumed_stream()
         if piece.last:
             return
-        await self._write(piece.sequence, self._form.chunk(piece.text))
+        await self._write(piece.sequence, self._formatter.chunk(piece.text))
 
-    async def _begin_resumed(self):
+    async def _begin_resumed_stream(self):
         """Start the response to a caller that resumes a stream.
 
         The engine doesn't announce a resumed stream again, so target, stream and
@@ -133,9 +133,9 @@
             self._request.headers["Last-Event-ID"], self._prompt.account
         )
         self._position = self._front.signer.stream_signer(token)
-        await self._prepare()
+        await self._send_headers()
 
-    async def _prepare(self):
+    async def _send_headers(self):
         """Send the headers of the response.
 
         Guards against callers that reuse kept-alive connections to a leaving entry
@@ -154,26 +154,26 @@
         text = f"id: {self._position(sequence)}\ndata: {data}\n\n"
         await self._response.write(text.encode())
 
-    async def finish(self, run, spent):
+    async def finish(self, run, token_usage):
         """Write the end of the answer and return the response.
 
         Parameters
         ----------
         run : prompt_runner.PromptRun
             The run, which has ended.
-        spent : dict or None
+        token_usage : dict or None
             The usage, from `replies.usage`, if the caller asked for it.
         """
         if self._failed:
             return self._response
-        await self._write(run.delivered, self._form.last_chunk(run.finish_reason))
-        if spent is not None:
-            await self._write(run.delivered, self._form.usage_chunk(spent))
+        await self._write(run.delivered, self._formatter.last_chunk(run.finish_reason))
+        if token_usage is not None:
+            await self._write(run.delivered, self._formatter.usage_chunk(token_usage))
         await self._response.write(b"data: [DONE]\n\n")
         await self._response.write_eof()
         return self._response
 
-    async def fail(self, error):
+    async def finish_with_error(self, error):
         """End an answer that has begun with a `replies.CallerError`."""
         self._failed = True
         text = f"data: {aiohttp.web.json_response(error.to_value()).text}\n\n"
