--- a/packages/daemon/sesamespindle/daemon/arrivals.py
+++ b/packages/daemon/sesamespindle/daemon/arrivals.py
@@ -1,4 +1,4 @@
-"""Turning callers' requests into events of the decision logic."""
+"""Conversion of callers' requests to events of the decision logic."""
 
 import hashlib
 
@@ -6,7 +6,28 @@
 
 
 def call_arrival(driver, account, pool, call, kind, timeout):
-    """Return the event of a call's arrival."""
+    """Return the event for a call to a plain service.
+
+    Parameters
+    ----------
+    driver : sesamespindle.daemon.driver.Driver
+        Supplies the clock and the declared pools.
+    account : str
+        The client account.
+    pool : str
+        The pool of targets to call.
+    call : sesamespindle.wire.service.ServiceRequest
+        The call.
+    kind : events.KeyKind
+        What kind of idempotency key the call has.
+    timeout : datetime.timedelta
+        The time until the call's deadline.
+
+    Returns
+    -------
+    arrival : events.CallArrived
+        Marked as repeatable for a GET, or if the pool declares the path so.
+    """
     declared_pool = driver.core.state.pools.get(pool)
     repeatable = call.method == "GET" or (
         declared_pool is not None
--- a/packages/daemon/sesamespindle/daemon/bodies.py
+++ b/packages/daemon/sesamespindle/daemon/bodies.py
@@ -1,4 +1,4 @@
-"""Callers' request bodies: read within limits, then checked."""
+"""Reading and validation of request bodies, within limits of size, time and depth."""
 
 import asyncio
 import json
@@ -17,7 +17,7 @@
 
 
 class TextPart(_Body):
-    """A part of a message's content."""
+    """One part of the content of a chat message; only text is accepted."""
 
     type: typing.Literal["text"]
     text: str
@@ -31,26 +31,36 @@
     name: str | None = None
 
     def text(self):
-        """Return the content as one text."""
+        """Return the content as one string."""
         if isinstance(self.content, str):
             return self.content
         return "".join(part.text for part in self.content)
 
 
 class StreamOptions(_Body):
-    """What a stream carries besides the answer."""
+    """Options of a streamed answer.
+
+    Attributes
+    ----------
+    include_usage : bool
+        Whether a chunk with the token usage ends the stream.
+    include_obfuscation : bool
+        Accepted for compatibility, but has no effect.
+    """
 
     include_usage: bool = False
     include_obfuscation: bool = False
 
 
 class _Completion(_Body):
+    """Fields that chat and plain completions have in common."""
+
     model: str
     stream: bool = False
     stream_options: StreamOptions | None = None
     prompt_cache_key: str = ""
     user: str | None = None
-    # Sampling is the engines' matter; the values are checked and passed over.
+    # How to sample is up to the engines. These values are validated, then ignored.
     temperature: float | None = None
     top_p: float | None = None
     seed: int | None = None
@@ -61,14 +71,18 @@
 
 
 class ChatBody(_Completion):
-    """The body of a chat completion."""
+    """The body of a request for a chat completion."""
 
     messages: list[Message] = pydantic.Field(min_length=1)
     max_tokens: int | None = pydantic.Field(None, ge=1)
     max_completion_tokens: int | None = pydantic.Field(None, ge=1)
 
     def prompt(self):
-        """Return the messages as one text; a longer chat begins with it."""
+        """Return the messages as the text of one prompt.
+
+        The prompt of the chat's next turn starts with this text, so the KV cache of
+        this turn can be reused.
+        """
         turns = [f"<|{item.role}|>{item.text()}<|end|>" for item in self.messages]
         return "".join(turns) + "<|assistant|>"
 
@@ -78,13 +92,13 @@
 
 
 class TextBody(_Completion):
-    """The body of a plain completion."""
+    """The body of a request for a plain completion."""
 
     prompt_text: str = pydantic.Field(alias="prompt")
     max_tokens: int = pydantic.Field(DEFAULT_ANSWER_TOKENS, ge=1)
 
     def prompt(self):
-        """Return the prompt."""
+        """Return the text of the prompt."""
         return self.prompt_text
 
     def answer_tokens(self):
@@ -95,35 +109,61 @@
 async def read(request, limits):
     """Return the raw body of a request.
 
-    Guards against callers that send without end or too slowly, which would
-    hold memory and connections: the size is bounded by the server, the time
-    here.
+    Guards against callers whose body is endless or very slow. Each would occupy a
+    connection and memory without limit. The HTTP server bounds the size, and this
+    function the time.
+
+    Parameters
+    ----------
+    request : aiohttp.web.Request
+        The caller's request.
+    limits : sesamespindle.declare.settings.Limits
+        The limits of bodies.
+
+    Returns
+    -------
+    raw : bytes
+        The body.
 
     Raises
     ------
     replies.CallerError
-        If the body is too large or too slow.
+        If the body is too large, or is not received in time.
     """
     try:
         async with asyncio.timeout(limits.body_timeout.total_seconds()):
             return await request.read()
     except TimeoutError as error:
         raise replies.CallerError(
-            408, "body_too_slow", "The body did not come in time."
+            408, "body_too_slow", "The body was not received within the time limit."
         ) from error
     except aiohttp.web.HTTPRequestEntityTooLarge as error:
         raise replies.CallerError(
-            413, "body_too_large", f"A body may have {limits.body_bytes} bytes."
+            413, "body_too_large", f"The body exceeds {limits.body_bytes} bytes."
         ) from error
 
 
 async def read_model(request, limits, model):
-    """Return the checked model of a request's JSON body.
+    """Return the validated JSON body of a request.
+
+    Parameters
+    ----------
+    request : aiohttp.web.Request
+        The caller's request.
+    limits : sesamespindle.declare.settings.Limits
+        The limits of bodies.
+    model : type
+        The class that validates the body, such as `ChatBody`.
+
+    Returns
+    -------
+    body : pydantic.BaseModel
+        An instance of the class.
 
     Raises
     ------
     replies.CallerError
-        With the first thing that is wrong and where.
+        If the body can't be read or is invalid; it names the first invalid field.
     """
     value = _parse(await read(request, limits), limits)
     try:
@@ -146,13 +186,14 @@
             400, "invalid_json", f"The body is not JSON: {error}."
         ) from error
     if not isinstance(value, dict):
-        raise replies.CallerError(400, "invalid_json", "The body is not an object.")
+        raise replies.CallerError(400, "invalid_json", "The body is not a JSON object.")
     if _is_deeper(value, limits.json_depth):
         raise _too_deep(limits)
     return value
 
 
 def _is_deeper(value, depth):
+    """Return whether a JSON value is nested more than `depth` levels deep."""
     level = [value]
     for _ in range(depth):
         level = [
@@ -167,5 +208,5 @@
 
 
 def _too_deep(limits):
-    message = f"The body is nested over {limits.json_depth} levels."
+    message = f"The body is nested more than {limits.json_depth} levels deep."
     return replies.CallerError(400, "json_too_deep", message)
--- a/packages/daemon/sesamespindle/daemon/connections.py
+++ b/packages/daemon/sesamespindle/daemon/connections.py
@@ -1,4 +1,4 @@
-"""Connections to targets: kept ones with care, and none that fail silently."""
+"""HTTP connections to targets: keep-alive, timeouts, and detection of dead peers."""
 
 import functools
 import socket
@@ -6,52 +6,72 @@
 import aiohttp
 import aiohttp.client_proto
 
-# A connection can't be made faster than a few ms on a sound host; a target that
-# is dark must cost less than the latency goals of the users (150 ms and more).
+# A healthy host accepts a connection within a few ms. The timeout bounds the delay
+# that an unreachable target adds to a request; the callers' latency goals are 150 ms
+# and more.
 CONNECT_SECONDS = 0.25
-# An idle connection is used again for this long. Targets close theirs after a
-# few seconds; a request that crosses the close can't be repeated if it isn't
+# How long an idle connection may be reused. Targets close idle connections after a
+# few seconds, and a request that is sent just then can't be retried unless it is
 # idempotent.
 _IDLE_SECONDS = 4.0
-# A peer that answers no probes is given up after `idle + count * interval`
-# seconds, so that a connection that went silent shows without a close.
+# TCP keep-alive: a connection whose peer answers no probes is considered dead after
+# `idle + count * interval` seconds of silence. This detects a host that died without
+# closing its connections.
 _KEEPALIVE_IDLE_SECONDS = 1
 _KEEPALIVE_INTERVAL_SECONDS = 1
 _KEEPALIVE_COUNT = 1
-# What was sent and not acknowledged for this long shows a dead connection.
+# TCP user timeout: a connection is considered dead if data that was sent on it is
+# not acknowledged for this long.
 _USER_TIMEOUT_MILLISECONDS = 2000
 MAX_HEADER_BYTES = 65536
 
 
 class WatchedHandler(aiohttp.client_proto.ResponseHandler):
-    """Remembers how its connection ended.
+    """An aiohttp response handler that records how its connection ended.
 
-    Guards against an answer without a length that is reset on its way: the
-    library takes any end of such a connection for the answer's end, so half an
-    answer would look whole.
+    Guards against truncated answers that look complete. An answer without a length
+    ends where its connection does, and aiohttp accepts a reset as such an end too.
+    With `was_reset` the relay can tell a reset from an orderly close.
+
+    Attributes
+    ----------
+    was_reset : bool
+        Whether the connection ended with an error.
     """
 
     was_reset = False
 
     def connection_lost(self, exc):
-        """Note whether the connection ended by a reset."""
+        """Record whether the connection ended with an error."""
         self.was_reset = exc is not None
         super().connection_lost(exc)
 
 
 def key_of(target, born):
-    """Return the name under which connections to one life of a target are kept.
+    """Return the name that keeps apart connections to each incarnation of a target.
+
+    Guards against a booking that is lost although no target has run it. It would be
+    sent over an idle connection to an earlier incarnation of the target, or to the
+    former target at this address; the broken connection then looks as if the
+    request might have run. aiohttp reuses a connection only for the same TLS server
+    name. TLS is not used here, so that name can carry the incarnation.
 
-    Guards against a booking that is lost although no target has run it: sent over
-    a connection that was kept to the life before, or to the address's target
-    before, its end looks as if the request might have run. The library keeps
-    connections apart by the name that TLS would check, which is not used here.
+    Parameters
+    ----------
+    target : str
+        The target's name.
+    born : int
+        Start time of the target's incarnation.
     """
     return f"{target}.{born}"
 
 
 def make_session():
-    """Return a client session that sends and returns bytes as they are."""
+    """Return an `aiohttp.ClientSession` for relaying to targets.
+
+    It adds no headers or cookies of its own, and leaves compressed bodies as they
+    are.
+    """
     connector = aiohttp.TCPConnector(
         limit=0,
         keepalive_timeout=_IDLE_SECONDS,
@@ -72,9 +92,9 @@
         max_field_size=MAX_HEADER_BYTES,
         trust_env=False,
     )
-    # The library repeats idempotent methods on a kept connection that died. The
-    # repeat would be counted by nobody and ignore whether the request may run
-    # twice, which only the decision logic knows.
+    # aiohttp would retry idempotent methods itself if a reused connection fails.
+    # Such a retry would bypass the retry budget, and the decision logic, which alone
+    # knows whether the request may run twice.
     session._retry_connection = False
     return session
 
--- a/packages/daemon/sesamespindle/daemon/eventstream.py
+++ b/packages/daemon/sesamespindle/daemon/eventstream.py
@@ -1,15 +1,21 @@
-"""Cutting a stream of server-sent events into whole events."""
+"""Splitting of a byte stream of server-sent events into whole events."""
 
 _END = b"\n\n"
 _ID = b"id:"
 
 
 class EventCutter:
-    """Collects bytes and gives back whole events.
+    """Buffers the bytes of a stream until they form whole events.
 
-    Guards against an engine that stops in the middle of an event: the half
-    would reach the caller, and the rest of the stream, made by another engine,
-    would be joined to it.
+    Guards against an engine that fails in the middle of an event. If the caller got
+    the first half, the events with which another engine continues the stream would
+    be appended to it, and the caller would read a corrupt event.
+
+    Attributes
+    ----------
+    last_id : str or None
+        The id of the last whole event that had one, from which another engine can
+        continue; None if there was none.
     """
 
     def __init__(self):
@@ -17,7 +23,18 @@
         self.last_id = None
 
     def feed(self, chunk):
-        """Return the bytes of the events that are whole now."""
+        """Add bytes to the stream, and return the events that they complete.
+
+        Parameters
+        ----------
+        chunk : bytes
+            The next bytes of the stream, divided anywhere.
+
+        Returns
+        -------
+        whole : bytes
+            One or more whole events; empty if the chunk completes none.
+        """
         data = self._rest + chunk
         end = data.rfind(_END)
         if end < 0:
@@ -29,14 +46,18 @@
         return whole
 
     def has_rest(self):
-        """Return whether the stream stands in the middle of an event."""
+        """Return whether the stream has stopped in the middle of an event."""
         return bool(self._rest.strip())
 
     def restart(self):
-        """Forget the half event of an engine that stopped."""
+        """Discard the incomplete event, as another engine sends a new stream."""
         self._rest = b""
 
     def _note_id(self, whole):
+        """Record the id of the last event that has one.
+
+        Only a line that starts with ``id:`` counts, not that text inside data.
+        """
         start = whole.rfind(_ID)
         while start > 0 and whole[start - 1] != ord("\n"):
             start = whole.rfind(_ID, 0, start)
