--- a/packages/daemon/sesamespindle/daemon/arrivals.py
+++ b/packages/daemon/sesamespindle/daemon/arrivals.py
@@ -33,8 +33,8 @@
         declared_pool is not None
         and call.path.partition("?")[0] in declared_pool.repeatable_paths
     )
-    parts = [pool.encode(), call.method.encode(), call.path.encode(), call.body]
-    fingerprint = hashlib.sha256(b"\0".join(parts)).hexdigest()
+    identity = [pool.encode(), call.method.encode(), call.path.encode(), call.body]
+    fingerprint = hashlib.sha256(b"\0".join(identity)).hexdigest()
     return events.CallArrived(
         call.request_id,
         account,
--- a/packages/daemon/sesamespindle/daemon/bodies.py
+++ b/packages/daemon/sesamespindle/daemon/bodies.py
@@ -86,7 +86,7 @@
         turns = [f"<|{item.role}|>{item.text()}<|end|>" for item in self.messages]
         return "".join(turns) + "<|assistant|>"
 
-    def answer_tokens(self):
+    def max_answer_tokens(self):
         """Return the most tokens that the answer may have."""
         return self.max_completion_tokens or self.max_tokens or DEFAULT_ANSWER_TOKENS
 
@@ -101,7 +101,7 @@
         """Return the text of the prompt."""
         return self.prompt_text
 
-    def answer_tokens(self):
+    def max_answer_tokens(self):
         """Return the most tokens that the answer may have."""
         return self.max_tokens
 
@@ -143,7 +143,7 @@
         ) from error
 
 
-async def read_model(request, limits, model):
+async def read_validated(request, limits, body_class):
     """Return the validated JSON body of a request.
 
     Parameters
@@ -152,7 +152,7 @@
         The caller's request.
     limits : sesamespindle.declare.settings.Limits
         The limits of bodies.
-    model : type
+    body_class : type
         The class that validates the body, such as `ChatBody`.
 
     Returns
@@ -165,34 +165,37 @@
     replies.CallerError
         If the body can't be read or is invalid; it names the first invalid field.
     """
-    value = _parse(await read(request, limits), limits)
+    value = _parse_object(await read(request, limits), limits)
     try:
-        return model.model_validate(value)
+        return body_class.model_validate(value)
     except pydantic.ValidationError as error:
-        first = error.errors()[0]
-        where = ".".join(str(part) for part in first["loc"])
+        first_error = error.errors()[0]
+        field = ".".join(str(part) for part in first_error["loc"])
         raise replies.CallerError(
-            400, "invalid_request", f"{where}: {first['msg']}.", param=where or None
+            400,
+            "invalid_request",
+            f"{field}: {first_error['msg']}.",
+            param=field or None,
         ) from error
 
 
-def _parse(raw, limits):
+def _parse_object(raw, limits):
     try:
         value = json.loads(raw)
     except RecursionError as error:
-        raise _too_deep(limits) from error
+        raise _too_deep_error(limits) from error
     except ValueError as error:
         raise replies.CallerError(
             400, "invalid_json", f"The body is not JSON: {error}."
         ) from error
     if not isinstance(value, dict):
         raise replies.CallerError(400, "invalid_json", "The body is not a JSON object.")
-    if _is_deeper(value, limits.json_depth):
-        raise _too_deep(limits)
+    if _is_nested_deeper(value, limits.json_depth):
+        raise _too_deep_error(limits)
     return value
 
 
-def _is_deeper(value, depth):
+def _is_nested_deeper(value, depth):
     """Return whether a JSON value is nested more than `depth` levels deep."""
     level = [value]
     for _ in range(depth):
@@ -207,6 +210,6 @@
     return True
 
 
-def _too_deep(limits):
+def _too_deep_error(limits):
     message = f"The body is nested more than {limits.json_depth} levels deep."
     return replies.CallerError(400, "json_too_deep", message)
--- a/packages/daemon/sesamespindle/daemon/connections.py
+++ b/packages/daemon/sesamespindle/daemon/connections.py
@@ -13,7 +13,7 @@
 # How long an idle connection may be reused. Targets close idle connections after a
 # few seconds, and a request that is sent just then can't be retried unless it is
 # idempotent.
-_IDLE_SECONDS = 4.0
+_IDLE_TIMEOUT_SECONDS = 4.0
 # TCP keep-alive: a connection whose peer answers no probes is considered dead after
 # `idle + count * interval` seconds of silence. This detects a host that died without
 # closing its connections.
@@ -26,7 +26,7 @@
 MAX_HEADER_BYTES = 65536
 
 
-class WatchedHandler(aiohttp.client_proto.ResponseHandler):
+class ResetDetectingHandler(aiohttp.client_proto.ResponseHandler):
     """An aiohttp response handler that records how its connection ended.
 
     Guards against truncated answers that look complete. An answer without a length
@@ -47,7 +47,7 @@
         super().connection_lost(exc)
 
 
-def key_of(target, born):
+def connection_key(target, born):
     """Return the name that keeps apart connections to each incarnation of a target.
 
     Guards against a booking that is lost although no target has run it. It would be
@@ -74,14 +74,14 @@
     """
     connector = aiohttp.TCPConnector(
         limit=0,
-        keepalive_timeout=_IDLE_SECONDS,
+        keepalive_timeout=_IDLE_TIMEOUT_SECONDS,
         ssl=False,
         family=socket.AF_INET,
         use_dns_cache=False,
         happy_eyeballs_delay=None,
         socket_factory=_make_socket,
     )
-    connector._factory = functools.partial(WatchedHandler, loop=connector._loop)
+    connector._factory = functools.partial(ResetDetectingHandler, loop=connector._loop)
     session = aiohttp.ClientSession(
         connector=connector,
         auto_decompress=False,
@@ -101,8 +101,8 @@
 
 def _make_socket(address):
     family, kind, protocol, _, _ = address
-    made = socket.socket(family, kind, protocol)
-    made.setblocking(False)
+    created = socket.socket(family, kind, protocol)
+    created.setblocking(False)
     for level, option, value in (
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
         (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
@@ -111,5 +111,5 @@
         (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _KEEPALIVE_COUNT),
         (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _USER_TIMEOUT_MILLISECONDS),
     ):
-        made.setsockopt(level, option, value)
-    return made
+        created.setsockopt(level, option, value)
+    return created
--- a/packages/daemon/sesamespindle/daemon/eventstream.py
+++ b/packages/daemon/sesamespindle/daemon/eventstream.py
@@ -1,10 +1,10 @@
 """Splitting of a byte stream of server-sent events into whole events."""
 
-_END = b"\n\n"
-_ID = b"id:"
+_EVENT_END = b"\n\n"
+_ID_FIELD = b"id:"
 
 
-class EventCutter:
+class EventSplitter:
     """Buffers the bytes of a stream until they form whole events.
 
     Guards against an engine that fails in the middle of an event. If the caller got
@@ -13,14 +13,14 @@
 
     Attributes
     ----------
-    last_id : str or None
+    last_event_id : str or None
         The id of the last whole event that had one, from which another engine can
         continue; None if there was none.
     """
 
     def __init__(self):
-        self._rest = b""
-        self.last_id = None
+        self._partial_event = b""
+        self.last_event_id = None
 
     def feed(self, chunk):
         """Add bytes to the stream, and return the events that they complete.
@@ -32,35 +32,35 @@
 
         Returns
         -------
-        whole : bytes
+        whole_events : bytes
             One or more whole events; empty if the chunk completes none.
         """
-        data = self._rest + chunk
-        end = data.rfind(_END)
+        data = self._partial_event + chunk
+        end = data.rfind(_EVENT_END)
         if end < 0:
-            self._rest = data
+            self._partial_event = data
             return b""
-        end += len(_END)
-        whole, self._rest = data[:end], data[end:]
-        self._note_id(whole)
-        return whole
+        end += len(_EVENT_END)
+        whole_events, self._partial_event = data[:end], data[end:]
+        self._record_last_id(whole_events)
+        return whole_events
 
-    def has_rest(self):
+    def has_partial_event(self):
         """Return whether the stream has stopped in the middle of an event."""
-        return bool(self._rest.strip())
+        return bool(self._partial_event.strip())
 
-    def restart(self):
+    def discard_partial_event(self):
         """Discard the incomplete event, as another engine sends a new stream."""
-        self._rest = b""
+        self._partial_event = b""
 
-    def _note_id(self, whole):
+    def _record_last_id(self, whole_events):
         """Record the id of the last event that has one.
 
         Only a line that starts with ``id:`` counts, not that text inside data.
         """
-        start = whole.rfind(_ID)
-        while start > 0 and whole[start - 1] != ord("\n"):
-            start = whole.rfind(_ID, 0, start)
+        start = whole_events.rfind(_ID_FIELD)
+        while start > 0 and whole_events[start - 1] != ord("\n"):
+            start = whole_events.rfind(_ID_FIELD, 0, start)
         if start >= 0:
-            line = whole[start + len(_ID) :].partition(b"\n")[0]
-            self.last_id = line.strip().decode("ascii", "replace")
+            line = whole_events[start + len(_ID_FIELD) :].partition(b"\n")[0]
+            self.last_event_id = line.strip().decode("ascii", "replace")
--- a/packages/daemon/sesamespindle/daemon/front.py
+++ b/packages/daemon/sesamespindle/daemon/front.py
@@ -176,7 +176,7 @@
             Whether it is a chat completion, rather than a plain completion.
         """
         account = self._authenticate(request)
-        body = await bodies.read_model(request, self._settings.limits, body_class)
+        body = await bodies.read_validated(request, self._settings.limits, body_class)
         prompt, token = self._prompt_request(request, account, body)
         prompt = dataclasses.replace(prompt, content=await _content_digest(request))
         answer_id = token.answer_id if token else f"cmpl-{prompt.request_id}"
@@ -222,7 +222,7 @@
             body.model,
             text,
             hashing.token_count(text),
-            body.answer_tokens(),
+            body.max_answer_tokens(),
             self._driver.clock.now() + self._settings.policy.prompt_timeout,
         )
         position = request.headers.get("Last-Event-ID", "")
--- a/packages/daemon/sesamespindle/daemon/relay.py
+++ b/packages/daemon/sesamespindle/daemon/relay.py
@@ -294,7 +294,7 @@
         """
         url = yarl.URL(f"http://{forward.address}{http.raw_path}", encoded=True)
         headers = self._dialect.send_headers(
-            http, forward, self._clock.now(), answer.cutter.last_id
+            http, forward, self._clock.now(), answer.event_splitter.last_event_id
         )
         try:
             async with self._first_byte_timeout(forward, answer) as first_byte_timeout:
@@ -304,7 +304,9 @@
                     headers=headers,
                     data=body.payload(),
                     allow_redirects=False,
-                    server_hostname=connections.key_of(forward.target, forward.born),
+                    server_hostname=connections.connection_key(
+                        forward.target, forward.born
+                    ),
                 )
                 async with response:
                     first_byte_timeout.reschedule(None)
@@ -445,7 +447,7 @@
         """
         is_resumable = forward.repeats is routes.Repeats.RESUMABLE
         protocol = _protocol(response)
-        answer.cutter.restart()
+        answer.event_splitter.discard_partial_event()
         is_first = True
         try:
             async for chunk in response.content.iter_any():
@@ -453,7 +455,7 @@
                     is_first = False
                     self._first_byte(forward)
                 if is_resumable:
-                    chunk = answer.cutter.feed(chunk)
+                    chunk = answer.event_splitter.feed(chunk)
                 if not chunk:
                     continue
                 if answer.response is None:
@@ -462,7 +464,7 @@
         except aiohttp.ClientError:
             return self._ending_of_broken(forward, answer)
         is_cut_off = not _is_framed(response) and _was_reset(protocol)
-        if is_cut_off or answer.cutter.has_rest():
+        if is_cut_off or answer.event_splitter.has_partial_event():
             return self._ending_of_broken(forward, answer)
         if answer.response is None:
             await self._start_response(http, response, answer)
--- a/packages/daemon/sesamespindle/daemon/relayed.py
+++ b/packages/daemon/sesamespindle/daemon/relayed.py
@@ -108,7 +108,7 @@
     ----------
     response : aiohttp.web.StreamResponse or None
         What the caller gets; None before anything was sent.
-    cutter : eventstream.EventCutter
+    event_splitter : eventstream.EventSplitter
         Splits the stream of a target into whole events.
     failure : aiohttp.web.Response or None
         The last failure response of a target, which may become the final answer.
@@ -120,7 +120,7 @@
 
     def __init__(self):
         self.response = None
-        self.cutter = eventstream.EventCutter()
+        self.event_splitter = eventstream.EventSplitter()
         self.failure = None
         self.relayed_bytes = 0
         self.last_relayed_at = None
