--- a/packages/daemon/sesamespindle/daemon/call_runner.py
+++ b/packages/daemon/sesamespindle/daemon/call_runner.py
@@ -1,4 +1,4 @@
-"""Carrying calls to plain services, and their claims, to their end."""
+"""Execution of calls to plain services, and of writes to their claims."""
 
 import asyncio
 import dataclasses
@@ -10,22 +10,41 @@
 from sesamespindle.wire import claims, engine, platform, service
 
 _log = logs.part("call")
+# First delay before a failed write of a call's outcome is retried; it doubles with
+# each failure, up to 5 s.
 _SETTLE_FIRST_PAUSE = datetime.timedelta(milliseconds=100)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallReply:
-    """The answer of a plain service, and whether it is of an earlier run."""
+    """The answer of a plain service.
+
+    Attributes
+    ----------
+    answer : events.StoredAnswer
+        The answer.
+    replayed : bool
+        Whether it is the stored answer of an earlier call with the same key.
+    """
 
     answer: events.StoredAnswer
     replayed: bool
 
 
 class CallRunner:
-    """Carries out the commands about calls, in tasks of its own.
-
-    A call goes on when its caller leaves: only so can its outcome be kept
-    for a repeat.
+    """Executes the commands about calls, each call in its own task.
+
+    A call continues when its caller disconnects, so that its outcome can be stored
+    for a retry with the same key.
+
+    Parameters
+    ----------
+    driver : sesamespindle.daemon.driver.Driver
+        Feeds events to the decision logic.
+    platform_client : sesamespindle.wire.platform.PlatformClient
+        Stores claims.
+    call_timeout : datetime.timedelta
+        How long a plain service may take to answer.
     """
 
     def __init__(self, driver, platform_client, call_timeout):
@@ -49,20 +68,27 @@
 
     @property
     def unsettled(self):
-        """Return the number of tasks that still run."""
+        """The number of calls and writes of claims that have not finished."""
         return len(self._tasks)
 
     async def run(self, arrival, request):
         """Make a call and return its `CallReply`.
 
+        Parameters
+        ----------
+        arrival : events.CallArrived
+            The event for the call.
+        request : sesamespindle.wire.service.ServiceRequest
+            What is sent to the plain service.
+
         Raises
         ------
         replies.CallerError
-            With the final answer to a call that was given up.
+            The final answer if the call is refused or abandoned.
         """
         exchange = self._driver.open(arrival.request_id)
         task = self._spawn(self._follow_commands(exchange, arrival, request))
-        # The caller's leaving cancels only the waiting.
+        # If the caller disconnects, only this wait is cancelled, not the call.
         return await asyncio.shield(task)
 
     async def _follow_commands(self, exchange, arrival, request):
@@ -81,6 +107,7 @@
             self._driver.close(arrival.request_id)
 
     async def _call(self, command, request):
+        """Call a plain service once, and return the event for its answer or ending."""
         try:
             answer = await self._services.call(command.url, request, self._call_timeout)
         except engine.NotSentError:
@@ -92,7 +119,7 @@
         else:
             return events.CallAnswered(command.request_id, command.attempt, answer)
         _log.bind(request=command.request_id).warning(
-            "Call at {} ended: {}.", command.target, ending.value
+            "Call to {} ended: {}.", command.target, ending.value
         )
         return events.AttemptEnded(command.request_id, command.attempt, ending)
 
@@ -100,6 +127,7 @@
         self._spawn(self._take_claim(command))
 
     async def _take_claim(self, command):
+        """Write a claim, and feed the result to the decision logic."""
         try:
             version = await claims.take(
                 self._platform,
@@ -111,7 +139,9 @@
         except platform.ConflictError as error:
             event = _found_event(command, error.found)
         except platform.PlatformAwayError as error:
-            _log.bind(request=command.request_id).warning("No claim. {}", error)
+            _log.bind(request=command.request_id).warning(
+                "The platform did not confirm the claim. {}", error
+            )
             event = events.ClaimFailed(command.request_id)
         else:
             event = events.ClaimTaken(command.request_id, version)
@@ -121,10 +151,11 @@
         self._spawn(self._settle_claim(command))
 
     async def _settle_claim(self, command):
-        """Write how a run ended, for as long as that takes.
+        """Write the outcome of a call to its claim, and retry until that succeeds.
 
-        Only this run's own claim is replaced, told by its nonce: guards
-        against overwriting the claim of a later run with the same key.
+        Guards against overwriting the claim of a later call with the same key, whose
+        outcome would then be lost. The nonce identifies the claim of this call;
+        another claim is left as it is.
         """
         pause = _SETTLE_FIRST_PAUSE
         version = command.replaces
@@ -154,6 +185,13 @@
 
 
 def _found_event(command, found):
+    """Return the event for a claim that conflicts with the one to be taken.
+
+    Parameters
+    ----------
+    found : sesamespindle.wire.platform.Object or None
+        The stored claim; None if there is none, which counts as a failure.
+    """
     if found is None:
         return events.ClaimFailed(command.request_id)
     claim = claims.from_value(found.value)
@@ -161,6 +199,7 @@
 
 
 def _is_same_run(command, found):
+    """Return whether no claim is stored, or the one of the same call."""
     if found is None:
         return True
     return found.value["nonce"] == command.claim.nonce
--- a/packages/daemon/sesamespindle/daemon/prompt_runner.py
+++ b/packages/daemon/sesamespindle/daemon/prompt_runner.py
@@ -1,4 +1,4 @@
-"""Carrying a prompt through its attempts until the caller has its answer."""
+"""Execution of a prompt: its attempts at engines, until the caller has the answer."""
 
 import asyncio
 import dataclasses
@@ -9,11 +9,12 @@
 from sesamespindle.wire import engine
 
 _log = logs.part("prompt")
-# An engine notices a closed connection with the next token that it writes, some
-# 5 to 40 ms later; one second is more than any leaves unread.
+# An engine notices a closed connection when it writes the next token, 5 to 40 ms
+# later. The attempts together take one second, more than any engine needs.
 _CANCEL_PAUSE_SECONDS = 0.02
 _CANCEL_TRIES = 50
-# A caller whose time is over waits for its answer meanwhile, 0.1 s at the most.
+# Fewer attempts at the deadline of a prompt, as the caller waits for its final
+# answer meanwhile: 0.1 s at most.
 _CANCEL_TRIES_AT_END = 5
 
 
@@ -23,10 +24,14 @@
 
     Attributes
     ----------
+    prompt_tokens : int
+        The number of tokens of the prompt.
+    answer_tokens : int
+        The maximum number of tokens of the answer.
     resume_stream : str
-        The stream to read on; empty for a new answer.
+        The id of the stream to resume; empty for a new answer.
     delivered : int
-        The last sequence number that the caller has.
+        The sequence number of the last token that the caller already has.
     content : bytes or None
         From `fingerprints.of_content`.
     """
@@ -44,17 +49,28 @@
 
 
 class PromptRun:
-    """One prompt's way from the first command to the last piece.
+    """One prompt from its first command to the last piece of its answer.
 
     Parameters
     ----------
     driver : sesamespindle.daemon.driver.Driver
-        Where events go.
+        Feeds events to the decision logic.
     engines : sesamespindle.wire.engine.EngineClient
-        How engines are reached.
+        The client of the engines.
+    exchange : sesamespindle.daemon.driver.Exchange
+        The commands about this prompt.
+    request : PromptRequest
+        The prompt.
     sink : object
         Gets the answer by ``begin_stream(target, stream, version)`` for each
         stream and ``add_piece(piece)`` for each piece, in order and each once.
+
+    Attributes
+    ----------
+    started : sesamespindle.wire.engine.Started or None
+        What the first engine reported at the start; None before that.
+    finish_reason : str
+        Why the answer ended; empty before it has ended.
     """
 
     def __init__(self, driver, engines, exchange, request, sink):
@@ -72,21 +88,22 @@
 
     @property
     def text(self):
-        """Return the answer as far as it was delivered here."""
+        """The text of the answer that this run has passed to the sink."""
         return "".join(self._text)
 
     @property
     def delivered(self):
-        """Return the number of tokens that the caller has."""
+        """The number of tokens that the caller has, from all entries."""
         return self._reassembly.delivered
 
     async def run(self):
-        """Carry out commands until the answer is whole.
+        """Execute commands until the answer is complete.
 
         Raises
         ------
         replies.CallerError
-            With the final answer to a prompt that was given up.
+            The final answer if the prompt is refused or abandoned, or if its
+            deadline passes.
         """
         seconds = (self._request.deadline - self._driver.clock.now()).total_seconds()
         try:
@@ -96,12 +113,19 @@
             await self._time_out()
 
     async def cancel(self, tries=_CANCEL_TRIES):
-        """Stop the stream at the engine, unless somebody else reads it.
+        """Stop the stream at the engine, unless another entry reads it.
 
-        Guards against an engine that hasn't noticed yet that this daemon reads
-        no more: it goes on, and the next prompt in the freed slot would run
-        beside it, beyond the account's limit. So the slot is kept, and the
-        engine asked again, until it has noticed.
+        Guards against more streams of an account than its limit allows. An engine
+        that has not noticed yet that this daemon closed its connection believes
+        that the stream is being read, and continues it. If the slot were freed
+        already, the account's next prompt would run at the same time. So this
+        method repeats the request until the engine stops the stream or all
+        attempts are used up; only then is the slot freed.
+
+        Parameters
+        ----------
+        tries : int
+            The maximum number of attempts, one every 20 ms.
         """
         if not self._url or self._reassembly.complete:
             return
@@ -130,6 +154,10 @@
                 )
 
     async def _time_out(self):
+        """Cancel the stream, and raise the refusal of the decision logic.
+
+        Commands that were emitted before the refusal are ignored.
+        """
         await self.cancel(_CANCEL_TRIES_AT_END)
         self._driver.feed(
             events.AttemptEnded(
@@ -145,11 +173,18 @@
         raise replies.from_refusal(command)
 
     def _attempt_number(self):
+        """Return the number of the current attempt; 0 if the prompt is unknown."""
         row = self._driver.core.prompts.rows.get(self._request.request_id)
         return row.attempt if row is not None else 0
 
     def _start(self, command):
-        """Open a new stream, going on from what the caller already has."""
+        """Start a new stream that continues after what the caller already has.
+
+        Returns
+        -------
+        items : async generator
+            From `sesamespindle.wire.engine.EngineClient.start`.
+        """
         request = self._request
         self._note_target(command)
         stream = f"{request.request_id}-{command.attempt}"
@@ -176,7 +211,7 @@
         self._target = command.target
 
     async def _attempt(self, command, items):
-        """Read one link to a stream to its end, and report how it ended."""
+        """Read a stream until it or its connection ends, and report the ending."""
         ending, retry_after = await self._read(items)
         if ending is not events.Ending.COMPLETED:
             _log.bind(request=self._request.request_id).info(
@@ -193,6 +228,15 @@
         )
 
     async def _read(self, items):
+        """Read a stream until it or its connection ends.
+
+        Returns
+        -------
+        ending : events.Ending
+            How the attempt ended.
+        retry_after : datetime.timedelta or None
+            When the engine may be asked again, if it refused the prompt.
+        """
         try:
             async for item in items:
                 await self._take(item)
@@ -222,6 +266,7 @@
             await self._sink.add_piece(piece)
 
     async def _take_start(self, item):
+        """Report the first token, and announce the stream to the sink."""
         if self.started is None:
             self.started = item
         self._driver.feed(
--- a/packages/daemon/sesamespindle/daemon/tickets.py
+++ b/packages/daemon/sesamespindle/daemon/tickets.py
@@ -1,16 +1,28 @@
-"""Calls under tickets: made by the entry that minted them, passed on by others."""
+"""Calls under tickets.
+
+A ticket is an idempotency key that an entry issued. Only that incarnation of the
+entry may run the call; all others forward it there.
+"""
 
 from sesamespindle.daemon import arrivals, replies, tokens
 from sesamespindle.decide import commands, events
 
 
 class Tickets:
-    """Makes calls under tickets here, or passes them on to their entry.
+    """Runs calls under tickets of this entry, and forwards those of others.
 
     Parameters
     ----------
+    driver : sesamespindle.daemon.driver.Driver
+        Supplies the clock and the decision logic.
+    calls : sesamespindle.daemon.call_runner.CallRunner
+        Runs the calls.
+    signer : sesamespindle.daemon.tokens.Signer
+        Verifies tickets.
     peers : sesamespindle.daemon.peering.Peering
-        How other entries are reached.
+        Forwards calls to other entries.
+    call_timeout : datetime.timedelta
+        The time until the deadline of a call.
     """
 
     def __init__(self, driver, calls, signer, peers, call_timeout):
@@ -23,16 +35,26 @@
     async def call(self, account, pool, call):
         """Make a call under a ticket and return its `call_runner.CallReply`.
 
+        Parameters
+        ----------
+        account : str
+            The client account.
+        pool : str
+            The pool of targets to call.
+        call : sesamespindle.wire.service.ServiceRequest
+            The call, whose key is the ticket.
+
         Raises
         ------
         replies.CallerError
-            With the final answer to a call that was given up.
+            The final answer if the ticket is invalid or expired, its entry can't be
+            reached, or the call is refused or abandoned.
         """
         try:
             ticket = self._signer.read_ticket(call.key, account)
         except (tokens.BadTokenError, ValueError) as error:
             raise replies.CallerError(
-                404, "unknown_ticket", "The ticket is not known."
+                404, "unknown_ticket", "The ticket is unknown."
             ) from error
         me = self._driver.core.state.me
         if (ticket.entry, ticket.incarnation) == (me.name, me.incarnation):
@@ -40,10 +62,13 @@
         return await self._pass_on(account, pool, call, ticket)
 
     async def _call_here(self, account, pool, call, ticket):
-        """Make the call, unless the ticket is too old to know if it was used.
+        """Make the call, unless the ticket has expired and its key is unknown.
 
-        Guards against running a call again after its key was dropped: keys are
-        kept for much longer than tickets last.
+        Guards against running a call twice because its key was dropped after the
+        first run. Keys are kept for much longer than tickets are valid. So an
+        unknown key was never used as long as its ticket is valid; once the ticket
+        has expired, the key may have been used and dropped, and the call is
+        refused.
         """
         if self._driver.clock.now() >= ticket.expires_at:
             known = self._driver.core.calls.knows_key(account, call.key)
@@ -55,10 +80,11 @@
         return await self._calls.run(arrival, call)
 
     async def _pass_on(self, account, pool, call, ticket):
-        """Pass a call on to the incarnation that may run it.
+        """Forward a call to the incarnation that issued its ticket.
 
-        Guards against a second run by two entries: nobody else runs it, and
-        where that incarnation is gone nobody can know whether it did.
+        Guards against a call that two entries run. No other incarnation ever runs
+        it. If the one that issued the ticket is gone, no one can know whether it
+        ran the call, and the caller is told that the outcome is unknown.
         """
         deadline = self._driver.clock.now() + self._call_timeout
         if self._driver.core.calls.may_outlast_host(deadline):
--- a/packages/daemon/sesamespindle/daemon/tokens.py
+++ b/packages/daemon/sesamespindle/daemon/tokens.py
@@ -1,4 +1,7 @@
-"""Signed tokens: tickets for calls, and positions in streams."""
+"""Signed tokens: tickets for calls, and positions in streams.
+
+Any daemon can verify a token, as all share the key that signs it.
+"""
 
 import base64
 import dataclasses
@@ -13,9 +16,10 @@
 
 
 class BadTokenError(Exception):
-    """The token is not one of ours, or is another account's.
+    """The token has no valid signature, or belongs to another account.
 
-    Both get the same answer, so that nobody learns which tokens exist.
+    The two cases are not told apart, so that callers can't find out which tokens
+    exist.
     """
 
     code = "unknown_token"
@@ -23,7 +27,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ticket:
-    """A key minted by one incarnation of an entry, which alone may run it."""
+    """An idempotency key that one incarnation of an entry issued.
+
+    Only that incarnation may run the call that uses it.
+
+    Attributes
+    ----------
+    account : str
+        The client account that may use it.
+    entry : str
+        The name of the entry.
+    incarnation : int
+        Start time of the entry's process, in milliseconds since the epoch.
+    nonce : str
+        Makes the ticket unique.
+    expires_at : datetime.datetime
+        When it expires. Until then, a ticket that its entry has no record of is
+        certainly unused.
+    """
 
     account: str
     entry: str
@@ -34,7 +55,25 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StreamToken:
-    """A stream as its reader is told of it; the sequence comes beside it."""
+    """What a position in a stream says about the stream.
+
+    A position consists of this token and a sequence number.
+
+    Attributes
+    ----------
+    account : str
+        The client account that may resume the stream.
+    model : str
+        The model's name.
+    target : str
+        The engine that generates it.
+    stream : str
+        The id of the stream at that engine.
+    version : str
+        The weight version that generates it.
+    answer_id : str
+        The id of the answer in the API.
+    """
 
     account: str
     model: str
@@ -45,7 +84,7 @@
 
 
 class Signer:
-    """Signs tokens and checks them.
+    """Signs and verifies tokens.
 
     Parameters
     ----------
@@ -57,7 +96,22 @@
         self._key = key.encode()
 
     def mint_ticket(self, account, me, expires_at):
-        """Return the text of a new ticket for an account."""
+        """Return a new ticket for an account.
+
+        Parameters
+        ----------
+        account : str
+            The client account.
+        me : events.Host
+            This entry.
+        expires_at : datetime.datetime
+            When the ticket expires.
+
+        Returns
+        -------
+        text : str
+            The signed ticket, which begins with `TICKET_PREFIX`.
+        """
         fields = {
             "account": account,
             "entry": me.name,
@@ -69,7 +123,9 @@
         return f"{TICKET_PREFIX}{body}.{self._mac('ticket', body)}"
 
     def read_ticket(self, text, account):
-        """Return the `Ticket` of a text.
+        """Verify a signed ticket and return it as a `Ticket`.
+
+        Its expiry is not checked.
 
         Raises
         ------
@@ -82,7 +138,20 @@
         return Ticket(**fields)
 
     def stream_signer(self, token):
-        """Return a function from sequence numbers to the texts of positions."""
+        """Return a function that maps sequence numbers to signed positions.
+
+        The token is encoded only once for all positions of a stream.
+
+        Parameters
+        ----------
+        token : StreamToken
+            The stream.
+
+        Returns
+        -------
+        position : callable
+            Takes a sequence number (int) and returns the position (str).
+        """
         body = _encode(dataclasses.asdict(token))
 
         def position(sequence):
@@ -92,7 +161,14 @@
         return position
 
     def read_position(self, text, account):
-        """Return the `StreamToken` and the sequence number of a position.
+        """Verify a signed position in a stream.
+
+        Returns
+        -------
+        token : StreamToken
+            The stream.
+        sequence : int
+            The sequence number of the last token that the caller has.
 
         Raises
         ------
@@ -105,12 +181,27 @@
         return StreamToken(**fields), int(sequence)
 
     def _open(self, purpose, signed, body, mac, account):
+        """Verify a token and return its fields.
+
+        Parameters
+        ----------
+        purpose : str
+            ``ticket`` or ``stream``; a token for one can't be used as the other.
+        signed : str
+            The text that the MAC covers.
+        body : str
+            The part of it with the encoded fields.
+        mac : str
+            The hexadecimal MAC that came with the token.
+        account : str
+            The account that the token must belong to.
+        """
         expected = self._mac(purpose, signed)
         if not hmac.compare_digest(expected.encode(), mac.encode()):
-            raise BadTokenError("The token is not known.")
+            raise BadTokenError("The token is invalid or of another account.")
         fields = json.loads(base64.urlsafe_b64decode(body))
         if fields["account"] != account:
-            raise BadTokenError("The token is not known.")
+            raise BadTokenError("The token is invalid or of another account.")
         return fields
 
     def _mac(self, purpose, text):
