--- a/packages/daemon/sesamespindle/daemon/call_runner.py
+++ b/packages/daemon/sesamespindle/daemon/call_runner.py
@@ -12,7 +12,7 @@
 _log = logs.part("call")
 # First delay before a failed write of a call's outcome is retried; it doubles with
 # each failure, up to 5 s.
-_SETTLE_FIRST_PAUSE = datetime.timedelta(milliseconds=100)
+_FIRST_SETTLE_DELAY = datetime.timedelta(milliseconds=100)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -87,11 +87,11 @@
             The final answer if the call is refused or abandoned.
         """
         exchange = self._driver.open(arrival.request_id)
-        task = self._spawn(self._follow_commands(exchange, arrival, request))
+        task = self._spawn(self._execute_commands(exchange, arrival, request))
         # If the caller disconnects, only this wait is cancelled, not the call.
         return await asyncio.shield(task)
 
-    async def _follow_commands(self, exchange, arrival, request):
+    async def _execute_commands(self, exchange, arrival, request):
         try:
             self._driver.feed(arrival)
             while True:
@@ -102,11 +102,11 @@
                     case commands.ReplyStored():
                         return CallReply(command.answer, command.replayed)
                     case commands.SendCall():
-                        self._driver.feed(await self._call(command, request))
+                        self._driver.feed(await self._call_service(command, request))
         finally:
             self._driver.close(arrival.request_id)
 
-    async def _call(self, command, request):
+    async def _call_service(self, command, request):
         """Call a plain service once, and return the event for its answer or ending."""
         try:
             answer = await self._services.call(command.url, request, self._call_timeout)
@@ -137,7 +137,7 @@
                 command.replaces,
             )
         except platform.ConflictError as error:
-            event = _found_event(command, error.found)
+            event = _conflict_event(command, error.found)
         except platform.PlatformAwayError as error:
             _log.bind(request=command.request_id).warning(
                 "The platform did not confirm the claim. {}", error
@@ -157,7 +157,7 @@
         outcome would then be lost. The nonce identifies the claim of this call;
         another claim is left as it is.
         """
-        pause = _SETTLE_FIRST_PAUSE
+        delay = _FIRST_SETTLE_DELAY
         version = command.replaces
         while True:
             try:
@@ -170,12 +170,12 @@
                 )
                 return
             except platform.ConflictError as error:
-                if not _is_same_run(command, error.found):
+                if not _is_same_call(command, error.found):
                     return
                 version = error.found.version if error.found else 0
             except platform.PlatformAwayError:
-                await asyncio.sleep(retries.spread(pause, self._random).total_seconds())
-                pause = min(pause * 2, datetime.timedelta(seconds=5))
+                await asyncio.sleep(retries.spread(delay, self._random).total_seconds())
+                delay = min(delay * 2, datetime.timedelta(seconds=5))
 
     def _spawn(self, coroutine):
         task = asyncio.create_task(coroutine)
@@ -184,7 +184,7 @@
         return task
 
 
-def _found_event(command, found):
+def _conflict_event(command, found):
     """Return the event for a claim that conflicts with the one to be taken.
 
     Parameters
@@ -198,7 +198,7 @@
     return events.ClaimFound(command.request_id, found.version, claim)
 
 
-def _is_same_run(command, found):
+def _is_same_call(command, found):
     """Return whether no claim is stored, or the one of the same call."""
     if found is None:
         return True
--- a/packages/daemon/sesamespindle/daemon/front.py
+++ b/packages/daemon/sesamespindle/daemon/front.py
@@ -231,9 +231,9 @@
         try:
             token, delivered = self._parts.signer.read_position(position, account)
         except tokens.BadTokenError as error:
-            raise _unknown_stream() from error
+            raise _unknown_stream_error() from error
         if token.model != body.model:
-            raise _unknown_stream()
+            raise _unknown_stream_error()
         resumed = dataclasses.replace(
             prompt, resume_stream=token.stream, delivered=delivered
         )
@@ -435,7 +435,7 @@
     return fingerprints.of_content(request.method.encode(), path, await request.read())
 
 
-def _unknown_stream():
+def _unknown_stream_error():
     return replies.CallerError(
         404, "unknown_stream", "The Last-Event-ID identifies no known stream."
     )
--- a/packages/daemon/sesamespindle/daemon/prompt_runner.py
+++ b/packages/daemon/sesamespindle/daemon/prompt_runner.py
@@ -11,11 +11,11 @@
 _log = logs.part("prompt")
 # An engine notices a closed connection when it writes the next token, 5 to 40 ms
 # later. The attempts together take one second, more than any engine needs.
-_CANCEL_PAUSE_SECONDS = 0.02
-_CANCEL_TRIES = 50
+_CANCEL_INTERVAL_SECONDS = 0.02
+_CANCEL_ATTEMPTS = 50
 # Fewer attempts at the deadline of a prompt, as the caller waits for its final
 # answer meanwhile: 0.1 s at most.
-_CANCEL_TRIES_AT_END = 5
+_CANCEL_ATTEMPTS_AT_DEADLINE = 5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -108,11 +108,11 @@
         seconds = (self._request.deadline - self._driver.clock.now()).total_seconds()
         try:
             async with asyncio.timeout(seconds):
-                await self._follow_commands()
+                await self._execute_commands()
         except TimeoutError:
-            await self._time_out()
+            await self._cancel_at_deadline()
 
-    async def cancel(self, tries=_CANCEL_TRIES):
+    async def cancel(self, max_attempts=_CANCEL_ATTEMPTS):
         """Stop the stream at the engine, unless another entry reads it.
 
         Guards against more streams of an account than its limit allows. An engine
@@ -124,41 +124,41 @@
 
         Parameters
         ----------
-        tries : int
+        max_attempts : int
             The maximum number of attempts, one every 20 ms.
         """
         if not self._url or self._reassembly.complete:
             return
-        for _ in range(tries):
+        for _ in range(max_attempts):
             if not await self._engines.cancel(self._url, self._reassembly.stream):
                 return
-            await asyncio.sleep(_CANCEL_PAUSE_SECONDS)
+            await asyncio.sleep(_CANCEL_INTERVAL_SECONDS)
 
-    async def _follow_commands(self):
+    async def _execute_commands(self):
         while not self._reassembly.complete:
-            await self._carry_out(await self._exchange.next())
+            await self._execute(await self._exchange.next())
 
-    async def _carry_out(self, command):
+    async def _execute(self, command):
         match command:
             case commands.Refuse():
                 raise replies.from_refusal(command)
             case commands.SendPrompt():
-                await self._attempt(command, self._start(command))
+                await self._run_attempt(command, self._start_stream(command))
             case commands.ResumeStream():
                 await asyncio.sleep(command.pause.total_seconds())
-                self._note_target(command)
+                self._set_target(command)
                 stream = self._reassembly.stream
-                await self._attempt(
+                await self._run_attempt(
                     command,
                     self._engines.resume(command.url, stream, self.delivered),
                 )
 
-    async def _time_out(self):
+    async def _cancel_at_deadline(self):
         """Cancel the stream, and raise the refusal of the decision logic.
 
         Commands that were emitted before the refusal are ignored.
         """
-        await self.cancel(_CANCEL_TRIES_AT_END)
+        await self.cancel(_CANCEL_ATTEMPTS_AT_DEADLINE)
         self._driver.feed(
             events.AttemptEnded(
                 self._request.request_id,
@@ -177,7 +177,7 @@
         row = self._driver.core.prompts.rows.get(self._request.request_id)
         return row.attempt if row is not None else 0
 
-    def _start(self, command):
+    def _start_stream(self, command):
         """Start a new stream that continues after what the caller already has.
 
         Returns
@@ -186,7 +186,7 @@
             From `sesamespindle.wire.engine.EngineClient.start`.
         """
         request = self._request
-        self._note_target(command)
+        self._set_target(command)
         stream = f"{request.request_id}-{command.attempt}"
         self._reassembly = streams.Reassembly(stream, self.delivered)
         return self._engines.start(
@@ -206,13 +206,13 @@
             ),
         )
 
-    def _note_target(self, command):
+    def _set_target(self, command):
         self._url = command.url
         self._target = command.target
 
-    async def _attempt(self, command, items):
+    async def _run_attempt(self, command, items):
         """Read a stream until it or its connection ends, and report the ending."""
-        ending, retry_after = await self._read(items)
+        ending, retry_after = await self._read_stream(items)
         if ending is not events.Ending.COMPLETED:
             _log.bind(request=self._request.request_id).info(
                 "Attempt at {} ended: {}.", command.target, ending.value
@@ -227,7 +227,7 @@
             )
         )
 
-    async def _read(self, items):
+    async def _read_stream(self, items):
         """Read a stream until it or its connection ends.
 
         Returns
@@ -239,7 +239,7 @@
         """
         try:
             async for item in items:
-                await self._take(item)
+                await self._handle_item(item)
                 if self._reassembly.complete:
                     return events.Ending.COMPLETED, None
         except engine.NotSentError:
@@ -254,9 +254,9 @@
             await items.aclose()
         return events.Ending.LINK_LOST, None
 
-    async def _take(self, item):
+    async def _handle_item(self, item):
         if isinstance(item, engine.Started):
-            await self._take_start(item)
+            await self._handle_start(item)
             return
         for piece in self._reassembly.accept(item):
             if piece.last:
@@ -265,7 +265,7 @@
                 self._text.append(piece.text)
             await self._sink.add_piece(piece)
 
-    async def _take_start(self, item):
+    async def _handle_start(self, item):
         """Report the first token, and announce the stream to the sink."""
         if self.started is None:
             self.started = item
--- a/packages/daemon/sesamespindle/daemon/tickets.py
+++ b/packages/daemon/sesamespindle/daemon/tickets.py
@@ -58,10 +58,10 @@
             ) from error
         me = self._driver.core.state.me
         if (ticket.entry, ticket.incarnation) == (me.name, me.incarnation):
-            return await self._call_here(account, pool, call, ticket)
-        return await self._pass_on(account, pool, call, ticket)
+            return await self._run_here(account, pool, call, ticket)
+        return await self._forward(account, pool, call, ticket)
 
-    async def _call_here(self, account, pool, call, ticket):
+    async def _run_here(self, account, pool, call, ticket):
         """Make the call, unless the ticket has expired and its key is unknown.
 
         Guards against running a call twice because its key was dropped after the
@@ -71,15 +71,15 @@
         refused.
         """
         if self._driver.clock.now() >= ticket.expires_at:
-            known = self._driver.core.calls.knows_key(account, call.key)
-            if not known:
-                raise _ticket_expired()
+            is_key_known = self._driver.core.calls.knows_key(account, call.key)
+            if not is_key_known:
+                raise _ticket_expired_error()
         arrival = arrivals.call_arrival(
             self._driver, account, pool, call, events.KeyKind.TICKET, self._call_timeout
         )
         return await self._calls.run(arrival, call)
 
-    async def _pass_on(self, account, pool, call, ticket):
+    async def _forward(self, account, pool, call, ticket):
         """Forward a call to the incarnation that issued its ticket.
 
         Guards against a call that two entries run. No other incarnation ever runs
@@ -88,19 +88,19 @@
         """
         deadline = self._driver.clock.now() + self._call_timeout
         if self._driver.core.calls.may_outlast_host(deadline):
-            raise self._leaving()
+            raise self._leaving_error()
         entry = self._driver.core.state.entries.get(ticket.entry)
-        gone = entry is None or entry.state is events.HostState.DEAD
-        if gone or entry.incarnation not in (0, ticket.incarnation):
-            raise _entry_gone()
+        is_dead = entry is None or entry.state is events.HostState.DEAD
+        if is_dead or entry.incarnation not in (0, ticket.incarnation):
+            raise _entry_unreachable_error()
         reply = await self._peers.forward_call(
             entry.peer_address, account, pool, call, self._call_timeout
         )
         if reply is None:
-            raise _entry_gone()
+            raise _entry_unreachable_error()
         return reply
 
-    def _leaving(self):
+    def _leaving_error(self):
         return replies.CallerError(
             503,
             commands.Code.SHUTTING_DOWN,
@@ -109,7 +109,7 @@
         )
 
 
-def _ticket_expired():
+def _ticket_expired_error():
     return replies.CallerError(
         410,
         "ticket_expired",
@@ -118,7 +118,7 @@
     )
 
 
-def _entry_gone():
+def _entry_unreachable_error():
     return replies.CallerError(
         502,
         commands.Code.ENTRY_GONE,
--- a/packages/daemon/sesamespindle/daemon/tokens.py
+++ b/packages/daemon/sesamespindle/daemon/tokens.py
@@ -133,7 +133,7 @@
             If it isn't a ticket of this account.
         """
         body, _, mac = text.removeprefix(TICKET_PREFIX).partition(".")
-        fields = self._open("ticket", body, body, mac, account)
+        fields = self._verify("ticket", body, body, mac, account)
         fields["expires_at"] = datetime.datetime.fromisoformat(fields["expires_at"])
         return Ticket(**fields)
 
@@ -177,10 +177,10 @@
         """
         signed, _, mac = text.rpartition(".")
         body, _, sequence = signed.partition(".")
-        fields = self._open("stream", signed, body, mac, account)
+        fields = self._verify("stream", signed, body, mac, account)
         return StreamToken(**fields), int(sequence)
 
-    def _open(self, purpose, signed, body, mac, account):
+    def _verify(self, purpose, signed, body, mac, account):
         """Verify a token and return its fields.
 
         Parameters
