--- a/tests/daemon/test_front.py
+++ b/tests/daemon/test_front.py
@@ -1,4 +1,4 @@
-"""The callers' front, by the unmodified OpenAI client and by bad requests."""
+"""The HTTP API for callers, used by the OpenAI client and by invalid requests."""
 
 import asyncio
 import json
@@ -148,10 +148,10 @@
 
 
 def test_endless_slow_body_is_refused(start_fleet, go):
-    """A caller sends its body a byte at a time and never ends.
+    """A caller sends its body a byte at a time and never ends it.
 
-    Each such caller would hold a connection and memory for ever; the entry
-    must answer it by its own clock.
+    Without a time limit each such caller would occupy a connection and memory for
+    ever. The entry has to refuse it after its own timeout.
     """
     running = start_fleet(
         entries=1,
