--- a/tests/daemon/test_front.py
+++ b/tests/daemon/test_front.py
@@ -19,13 +19,13 @@
 
 
 def test_client_lists_models(client, go):
-    async def names():
+    async def list_names():
         return [model.id async for model in client.models.list()]
 
-    assert go(names()) == ["glossary"]
+    assert go(list_names()) == ["glossary"]
 
 
-def test_client_chats(client, go):
+def test_client_gets_chat_completion(client, go):
     answer = go(
         client.chat.completions.create(
             model="glossary",
@@ -39,7 +39,7 @@
     assert answer.usage.completion_tokens == 5
 
 
-def test_client_streams(client, go):
+def test_client_gets_streamed_chat_completion(client, go):
     async def read():
         stream = await client.chat.completions.create(
             model="glossary",
@@ -55,25 +55,27 @@
     assert chunks[-1].choices[0].finish_reason == "length"
 
 
-def test_client_with_wrong_key(client, go):
+def test_wrong_api_key_is_refused(client, go):
     with pytest.raises(openai.AuthenticationError):
         go(client.with_options(api_key="sk-wrong").models.retrieve("glossary"))
 
 
 @pytest.mark.parametrize("model", ["no-such-model", "desk"])
-def test_client_asks_for_model_it_has_not(client, go, model):
+def test_unavailable_model_is_unknown(client, go, model):
     with pytest.raises(openai.NotFoundError) as caught:
         go(client.completions.create(model=model, prompt="x", max_tokens=1))
     assert caught.value.body["code"] == "unknown_model"
     assert caught.value.body["outcome"] == "not_run"
 
 
-def test_client_is_refused(shared_fleet, client, go):
+def test_prompts_over_the_account_limit_are_refused(shared_fleet, client, go):
     async def flood():
-        busy = client.with_options(api_key=fleet.demo_key("training"))
+        limited_client = client.with_options(api_key=fleet.demo_key("training"))
         return await asyncio.gather(
             *(
-                busy.completions.create(model="glossary", prompt="x", max_tokens=64)
+                limited_client.completions.create(
+                    model="glossary", prompt="x", max_tokens=64
+                )
                 for _ in range(60)
             ),
             return_exceptions=True,
@@ -85,7 +87,7 @@
     assert refused[0].body["retry_after"] > 0
 
 
-def deep(levels):
+def nested_body(levels):
     return json.dumps({"model": "glossary", "prompt": "x", "stop": 0}).replace(
         "0", "[" * levels + "]" * levels
     )
@@ -112,8 +114,8 @@
         400,
         "context_too_long",
     ),
-    "nested too deep": (deep(40), 400, "json_too_deep"),
-    "nested beyond the parser": (deep(100_000), 400, "json_too_deep"),
+    "nested too deep": (nested_body(40), 400, "json_too_deep"),
+    "nested beyond the parser": (nested_body(100_000), 400, "json_too_deep"),
     "too large": ('"' + "x" * 5_000_000, 413, "body_too_large"),
 }
 
@@ -123,14 +125,20 @@
     body, status, code = BAD_BODIES[name]
 
     async def post():
-        before = await received(shared_fleet)
+        before = await count_received(shared_fleet)
         url = f"{shared_fleet.url('entry-1')}/v1/completions"
         headers = {"Authorization": f"Bearer {fleet.demo_key('interpreters')}"}
-        async with shared_fleet.session.post(url, data=body, headers=headers) as got:
-            return got.status, await got.json(), await received(shared_fleet) - before
-
-    got_status, value, ran = go(post())
-    assert (got_status, value["error"]["code"]) == (status, code)
+        async with shared_fleet.session.post(
+            url, data=body, headers=headers
+        ) as response:
+            return (
+                response.status,
+                await response.json(),
+                await count_received(shared_fleet) - before,
+            )
+
+    response_status, value, ran = go(post())
+    assert (response_status, value["error"]["code"]) == (status, code)
     assert value["error"]["outcome"] == "not_run"
     assert ran == 0
     assert go(is_healthy(shared_fleet))
@@ -140,8 +148,8 @@
     async def get():
         url = f"{shared_fleet.url('entry-1')}/v1/models"
         headers = {"X-Large": "x" * 20_000}
-        async with shared_fleet.session.get(url, headers=headers) as got:
-            return got.status
+        async with shared_fleet.session.get(url, headers=headers) as response:
+            return response.status
 
     assert 400 <= go(get()) < 500
     assert go(is_healthy(shared_fleet))
@@ -169,19 +177,21 @@
     async def post():
         url = f"{running.url('entry-1')}/v1/completions"
         headers = {"Authorization": f"Bearer {fleet.demo_key('interpreters')}"}
-        async with running.session.post(url, data=endless(), headers=headers) as got:
-            return got.status, await got.json()
+        async with running.session.post(
+            url, data=endless(), headers=headers
+        ) as response:
+            return response.status, await response.json()
 
     status, value = go(post())
     assert (status, value["error"]["code"]) == (408, "body_too_slow")
     assert go(is_healthy(running))
 
 
-async def received(running):
+async def count_received(running):
     counts = [await running.counts(name) for name in running.names_of("engine")]
     return sum(count.get("received", 0) for count in counts)
 
 
 async def is_healthy(running):
-    async with running.session.get(f"{running.url('entry-1')}/healthz") as got:
-        return got.status == 200
+    async with running.session.get(f"{running.url('entry-1')}/healthz") as response:
+        return response.status == 200
