--- a/packages/daemon/sesamespindle/daemon/call_runner.py
+++ b/packages/daemon/sesamespindle/daemon/call_runner.py
@@ -24,7 +24,8 @@
     answer : events.StoredAnswer
         The answer.
     replayed : bool
-        Whether it is the stored answer of an earlier call with the same key.
+        Whether it is the stored answer of an earlier call with the same key, so that
+        nothing was run for this one.
     """
 
     answer: events.StoredAnswer
--- a/packages/daemon/sesamespindle/daemon/front.py
+++ b/packages/daemon/sesamespindle/daemon/front.py
@@ -80,7 +80,8 @@
     async def _answer_errors(self, request, handler):
         """Convert every error into a response in the format of the OpenAI API.
 
-        A leaving daemon also closes the connection after each response.
+        A leaving daemon also closes the connection after each response whose headers
+        have not been sent yet.
         """
         try:
             response = await handler(request)
--- a/packages/daemon/sesamespindle/daemon/relay.py
+++ b/packages/daemon/sesamespindle/daemon/relay.py
@@ -200,8 +200,8 @@
             forward.reason,
         )
         if body.is_consumed:
-            # The body was streamed to an earlier target without being kept, so it
-            # can't be sent again.
+            # The body was streamed to an earlier target without being buffered, so
+            # it can't be sent again; the request gets its final answer.
             return self._call_core(
                 self._forwarding.timed_out, forward.request_id, sent=True
             )
@@ -238,10 +238,10 @@
             send.withdraw(command.reason)
 
     def _prevent_withdrawal(self, forward):
-        """Make a send impossible to withdraw, since its answer has begun.
+        """Protect a send from withdrawal, since its answer has begun.
 
-        A withdrawal that has not taken effect yet is undone. If the host ends
-        now, the send still times out at once.
+        A withdrawal whose timeout has not fired yet is undone. If the host is
+        ending, the send still times out at once.
         """
         send = self._send_by_request.pop(forward.request_id, None)
         if send is not None and not self._is_ending:
@@ -291,6 +291,8 @@
         ------
         TimeoutError
             If the timeout of the whole send expires.
+        _CutOffError
+            If the caller has part of the answer, and the rest can't follow.
         """
         url = yarl.URL(f"http://{forward.address}{http.raw_path}", encoded=True)
         headers = self._dialect.send_headers(
@@ -325,10 +327,10 @@
             return sends.Ending.LOST
 
     def _first_byte_timeout(self, forward, answer):
-        """Return the timeout for a target's first byte.
+        """Return a timeout that runs until the headers of a target's response.
 
-        There is none if the caller already has part of the answer from an earlier
-        target.
+        It never expires if the send has no such timeout, or if the caller already
+        has part of the answer from an earlier target.
         """
         seconds = None
         if forward.patience is not None and answer.response is None:
@@ -336,7 +338,10 @@
         return asyncio.timeout(seconds)
 
     async def _handle_response(self, http, forward, response, answer):
-        """Judge a target's response, and relay it unless the request failed there.
+        """Judge a target's response, and relay it if it is an answer.
+
+        Responses that don't answer the request are read but not relayed, such as
+        that the target turned it away.
 
         Returns
         -------
@@ -507,7 +512,10 @@
         return sends.Ending.LOST
 
     async def _start_response(self, http, response, answer):
-        """Send the caller the status and headers of a target's response."""
+        """Send the caller the status and headers of a target's response.
+
+        The length is announced only if the response is not a stream of events.
+        """
         answer.response = aiohttp.web.StreamResponse(
             status=response.status,
             reason=response.reason,
@@ -587,7 +595,7 @@
 
 
 def _is_framed(response):
-    """Return whether a response marks its own end.
+    """Return whether a response has a length or is chunked, which marks its end.
 
     Otherwise it ends where the connection does, and a reset connection can look
     like its end.
--- a/packages/daemon/sesamespindle/daemon/relayed.py
+++ b/packages/daemon/sesamespindle/daemon/relayed.py
@@ -111,7 +111,8 @@
     event_splitter : eventstream.EventSplitter
         Splits the stream of a target into whole events.
     failure : aiohttp.web.Response or None
-        The last failure response of a target, which may become the final answer.
+        The last failure response of a target, which may become the final answer;
+        None if there was none, or it was incomplete.
     relayed_bytes : int
         Bytes of the answer written to the caller.
     last_relayed_at : datetime.datetime or None
