--- a/packages/daemon/sesamespindle/daemon/relayed.py
+++ b/packages/daemon/sesamespindle/daemon/relayed.py
@@ -129,10 +129,10 @@
     def describe_progress(self, now):
         """Return how much of the answer the caller has at `now`, for the log."""
         if self.last_relayed_at is None:
-            return "nothing of the answer was passed on"
+            return "nothing of the answer was relayed"
         idle_ms = (now - self.last_relayed_at).total_seconds() * 1000
         return (
-            f"{self.relayed_bytes} bytes of the answer were passed on, "
+            f"{self.relayed_bytes} bytes of the answer were relayed, "
             f"the last {idle_ms:.0f} ms ago"
         )
 
--- a/packages/daemon/sesamespindle/daemon/sinks.py
+++ b/packages/daemon/sesamespindle/daemon/sinks.py
@@ -33,14 +33,14 @@
         self._front = front
         self._prompt = prompt
         self._arrived_at = front.clock.now()
-        self._first = True
+        self._is_first_stream = True
         self.target = ""
 
     async def begin_stream(self, target, stream, version):
         """Record the target of a stream, and the time to first token."""
         self.target = target
-        if self._first:
-            self._first = False
+        if self._is_first_stream:
+            self._is_first_stream = False
             elapsed = self._front.clock.now() - self._arrived_at
             self._front.record_first_token(self._prompt, None, elapsed.total_seconds())
 
@@ -111,9 +111,9 @@
         self._front.record_first_token(self._prompt, None, elapsed.total_seconds())
         self._response.headers["X-Sesamespindle-Target"] = target
         await self._send_headers()
-        first = self._formatter.first_chunk()
-        if first is not None and not self._prompt.resume_stream:
-            await self._write(0, first)
+        role_chunk = self._formatter.first_chunk()
+        if role_chunk is not None and not self._prompt.resume_stream:
+            await self._write(0, role_chunk)
 
     async def add_piece(self, piece):
         """Write one `streams.Piece` of the answer; `finish` writes the end."""
