--- a/packages/daemon/sesamespindle/daemon/eventstream.py
+++ b/packages/daemon/sesamespindle/daemon/eventstream.py
@@ -1,45 +1,66 @@
-"""Cutting a stream of server-sent events into whole events."""
+"""Splitting of a byte stream of server-sent events into whole events."""
 
-_END = b"\n\n"
-_ID = b"id:"
+_EVENT_END = b"\n\n"
+_ID_FIELD = b"id:"
 
 
-class EventCutter:
-    """Collects bytes and gives back whole events.
+class EventSplitter:
+    """Buffers the bytes of a stream until they form whole events.
 
-    Guards against an engine that stops in the middle of an event: the half
-    would reach the caller, and the rest of the stream, made by another engine,
-    would be joined to it.
+    Guards against an engine that fails in the middle of an event. If the caller got
+    the first half, the events with which another engine continues the stream would
+    be appended to it, and the caller would read a corrupt event.
+
+    Attributes
+    ----------
+    last_event_id : str or None
+        The id of the last whole event that had one, from which another engine can
+        continue; None if there was none.
     """
 
     def __init__(self):
-        self._rest = b""
-        self.last_id = None
+        self._partial_event = b""
+        self.last_event_id = None
 
     def feed(self, chunk):
-        """Return the bytes of the events that are whole now."""
-        data = self._rest + chunk
-        end = data.rfind(_END)
+        """Add bytes to the stream, and return the events that they complete.
+
+        Parameters
+        ----------
+        chunk : bytes
+            The next bytes of the stream, divided anywhere.
+
+        Returns
+        -------
+        whole_events : bytes
+            One or more whole events; empty if the chunk completes none.
+        """
+        data = self._partial_event + chunk
+        end = data.rfind(_EVENT_END)
         if end < 0:
-            self._rest = data
+            self._partial_event = data
             return b""
-        end += len(_END)
-        whole, self._rest = data[:end], data[end:]
-        self._note_id(whole)
-        return whole
-
-    def has_rest(self):
-        """Return whether the stream stands in the middle of an event."""
-        return bool(self._rest.strip())
-
-    def restart(self):
-        """Forget the half event of an engine that stopped."""
-        self._rest = b""
-
-    def _note_id(self, whole):
-        start = whole.rfind(_ID)
-        while start > 0 and whole[start - 1] != ord("\n"):
-            start = whole.rfind(_ID, 0, start)
+        end += len(_EVENT_END)
+        whole_events, self._partial_event = data[:end], data[end:]
+        self._record_last_id(whole_events)
+        return whole_events
+
+    def has_partial_event(self):
+        """Return whether the stream has stopped in the middle of an event."""
+        return bool(self._partial_event.strip())
+
+    def discard_partial_event(self):
+        """Discard the incomplete event, as another engine sends a new stream."""
+        self._partial_event = b""
+
+    def _record_last_id(self, whole_events):
+        """Record the id of the last event that has one.
+
+        Only a line that starts with ``id:`` counts, not that text inside data.
+        """
+        start = whole_events.rfind(_ID_FIELD)
+        while start > 0 and whole_events[start - 1] != ord("\n"):
+            start = whole_events.rfind(_ID_FIELD, 0, start)
         if start >= 0:
-            line = whole[start + len(_ID) :].partition(b"\n")[0]
-            self.last_id = line.strip().decode("ascii", "replace")
+            line = whole_events[start + len(_ID_FIELD) :].partition(b"\n")[0]
+            self.last_event_id = line.strip().decode("ascii", "replace")
--- a/packages/daemon/sesamespindle/daemon/relay.py
+++ b/packages/daemon/sesamespindle/daemon/relay.py
@@ -1,4 +1,8 @@
-"""Moving bytes between callers and targets, as the decision logic says."""
+"""The HTTP relay between callers and targets.
+
+`sesamespindle.decide.forwarding` decides where each request is sent and what
+follows; the relay does the network I/O.
+"""
 
 import asyncio
 import contextlib
@@ -14,30 +18,38 @@
 
 _log = logs.part("relay")
 _CHUNK_BYTES = 64 * 1024
-# A target that keeps idle connections for less than this is not trusted with
-# a kept connection: the pool would use it up to its end.
-_SHORTEST_IDLE_SECONDS = 5
+# A connection is closed after its answer if the target keeps idle connections
+# open for less than this. The connection pool reuses them for up to 4 s, so a
+# request could be sent just as the target closes the connection.
+_MIN_IDLE_SECONDS = 5
 
 
 class _CutOffError(Exception):
-    """The caller's answer has begun and can't be finished."""
+    """The caller has received part of its answer, and the rest can't follow."""
 
     code = "cut_off"
 
 
 class Relay:
-    """Answers callers' requests.
+    """Relays callers' requests to targets, and the targets' answers to callers.
 
     Parameters
     ----------
     driver : sesamespindle.daemon.driver.Driver
-        Has the decision logic.
+        Runs the decision logic.
     dialect : object
-        Reads and writes headers and statuses.
+        Translates headers and statuses, such as the platform's
+        `sesamespindle.platform.dialect.Dialect`. The relay itself knows nothing
+        that is specific to a platform.
     session : aiohttp.ClientSession
-        From `connections.make_session`.
+        Connects to targets; from `connections.make_session`.
     measures : sesamespindle.daemon.measures.Measures
-        Counters and latencies.
+        Receives counters and latencies.
+
+    Attributes
+    ----------
+    in_flight : int
+        The number of requests that have no complete answer yet.
     """
 
     def __init__(self, driver, dialect, session, measures):
@@ -48,30 +60,44 @@
         self._session = session
         self._measures = measures
         self._requests_by_connection = weakref.WeakKeyDictionary()
-        # The time limits of all sends under way.
-        self._limits = set()
-        # The sends under way whose answer has not begun.
+        # The timeouts of all sends in flight.
+        self._send_timeouts = set()
+        # The sends in flight whose answer has not begun, so that they can still
+        # be withdrawn.
         self._send_by_request = {}
         self._is_ending = False
         self.in_flight = 0
         driver.on(sends.Withdraw, self._withdraw)
 
     def end(self):
-        """Give all requests under way their final answers now, as the host ends.
+        """Give all requests in flight their final answers, as the host ends now.
 
-        Guards against callers whose connection is closed without an answer: what
-        has not begun to be answered is refused instead. Nothing is sent any more,
-        also where the host ends before its time because it had nothing to do.
+        Guards against callers whose connection is closed without an answer when
+        the process ends. All sends time out at once: a request whose answer has
+        not begun is refused, and an answer that has begun is cut off. From then
+        on nothing is sent, even if the host ends ahead of schedule because it was
+        idle.
         """
         self._is_ending = True
         self._driver.feed(events.Ends())
         now = asyncio.get_running_loop().time()
-        for limit in self._limits:
-            if not limit.expired():
-                limit.reschedule(now)
+        for send_timeout in self._send_timeouts:
+            if not send_timeout.expired():
+                send_timeout.reschedule(now)
 
     async def handle(self, http):
-        """Answer one request."""
+        """Answer one request of a caller.
+
+        Parameters
+        ----------
+        http : aiohttp.web.BaseRequest
+            The request.
+
+        Returns
+        -------
+        response : aiohttp.web.StreamResponse
+            What the caller gets; already sent in part or whole if it was streamed.
+        """
         arrived = self._clock.now()
         self._count_on_connection(http)
         self.in_flight += 1
@@ -81,47 +107,67 @@
             self.in_flight -= 1
 
     async def _answer(self, http, arrived):
+        """Answer one request, which arrived at a given time."""
         request = self._dialect.read_request(http, arrived)
-        if not request.request_id or self._is_taken(request):
-            return self._refuse(http, _without_own_id(request))
+        if not request.request_id or self._is_id_in_use(request):
+            return self._refuse(http, _refusal_of_reused_id(request))
         body = await relayed.read_body(http)
-        request = dataclasses.replace(request, content=relayed.content_of(http, body))
-        command = self._decide(self._forwarding.begin, request)
+        request = dataclasses.replace(
+            request, content=relayed.content_digest(http, body)
+        )
+        command = self._call_core(self._forwarding.begin, request)
         answer = relayed.Answer()
         try:
-            return await self._carry_out(http, request, body, command, answer)
+            return await self._execute(http, request, body, command, answer)
         except _CutOffError:
-            self._log_cut(
+            self._log_incomplete(
                 request,
                 answer,
                 "Cut off: the answer had begun, nothing can continue it",
             )
             self._measures.refused("cut_off")
-            self._cut(http)
+            self._abort_connection(http)
             return answer.response
         except asyncio.CancelledError:
-            self._log_cut(request, answer, "The caller has left")
+            self._log_incomplete(request, answer, "The caller has left")
             raise
         finally:
-            self._decide(self._forwarding.close, request.request_id)
+            self._call_core(self._forwarding.close, request.request_id)
 
-    def _log_cut(self, request, answer, otherwise):
-        """Log why an answer did not come to its end, and how far it had come."""
-        cause = "Cut off by the end of this host" if self._is_ending else otherwise
+    def _log_incomplete(self, request, answer, default_cause):
+        """Log why an answer was not completed, and how much of it was sent.
+
+        Parameters
+        ----------
+        default_cause : str
+            The cause, unless it is the end of this host.
+        """
+        cause = "Cut off by the end of this host" if self._is_ending else default_cause
         _log.bind(request=request.request_id).info(
-            "{}: {}.", cause, answer.describe(self._clock.now())
+            "{}: {}.", cause, answer.describe_progress(self._clock.now())
         )
 
     def _count_on_connection(self, http):
-        """Count a request on its connection: only kept ones have several."""
+        """Count the requests of each caller's connection, for the log.
+
+        A count above 1 shows that the caller reused a kept-alive connection.
+        """
         counts = self._requests_by_connection
         if http.transport is not None:
             counts[http.transport] = counts.get(http.transport, 0) + 1
 
-    def _is_taken(self, request):
+    def _is_id_in_use(self, request):
+        """Return whether another request in flight has the same id."""
         return request.request_id in self._forwarding.flight_by_request
 
-    async def _carry_out(self, http, request, body, command, answer):
+    async def _execute(self, http, request, body, command, answer):
+        """Execute commands until the request has its answer; return the response.
+
+        Raises
+        ------
+        _CutOffError
+            If the answer has begun and can't be completed.
+        """
         while True:
             match command:
                 case commands.Refuse():
@@ -131,124 +177,142 @@
                 case sends.PassOn():
                     if answer.response is not None:
                         raise _CutOffError
-                    return self._last_if_leaving(answer.failure)
+                    return self._close_if_leaving(answer.failure)
                 case sends.Forward():
                     command = await self._send(http, body, command, answer)
                     if command is None:
                         return answer.response
 
     async def _send(self, http, body, forward, answer):
-        """Send to one target; return what follows, or None after an answer."""
-        left = (forward.until - self._clock.now()).total_seconds()
+        """Send a request to one target.
+
+        Returns
+        -------
+        command : sends.Forward, sends.PassOn, commands.Refuse or None
+            What to do next; None once the caller has its complete answer.
+        """
+        seconds_left = (forward.until - self._clock.now()).total_seconds()
         _log.bind(request=forward.request_id).info(
             "Sent to target {}, attempt {}, {:.0f} ms left. {}",
             forward.target,
             forward.attempt,
-            left * 1000,
+            seconds_left * 1000,
             forward.reason,
         )
-        if body.is_spent:
-            # A body that has passed through can't be sent again.
-            return self._decide(
+        if body.is_consumed:
+            # The body was streamed to an earlier target without being buffered, so
+            # it can't be sent again; the request gets its final answer.
+            return self._call_core(
                 self._forwarding.timed_out, forward.request_id, sent=True
             )
         try:
-            async with self._limit(max(left, 0.001)) as limit:
-                send = relayed.Send(forward.attempt, limit)
+            async with self._limit_send_time(max(seconds_left, 0.001)) as send_timeout:
+                send = relayed.Send(forward.attempt, send_timeout)
                 self._send_by_request[forward.request_id] = send
                 ending = await self._exchange(http, body, forward, answer)
         except TimeoutError:
-            return self._after_limit(forward, send)
+            return self._after_timeout(forward, send)
         finally:
             self._send_by_request.pop(forward.request_id, None)
         if ending is None:
             self._forwarding.served(forward.request_id, self._clock.now())
             return None
-        command = self._decide(self._forwarding.ended, forward.request_id, ending)
+        command = self._call_core(self._forwarding.ended, forward.request_id, ending)
         self._log_end(forward, ending.value, command)
         return command
 
     @contextlib.asynccontextmanager
-    async def _limit(self, seconds):
-        """Limit a send's time, which ends sooner if the host does."""
-        async with asyncio.timeout(seconds) as limit:
-            self._limits.add(limit)
+    async def _limit_send_time(self, seconds):
+        """Limit the time of a send; `end` can make it expire sooner."""
+        async with asyncio.timeout(seconds) as send_timeout:
+            self._send_timeouts.add(send_timeout)
             try:
-                yield limit
+                yield send_timeout
             finally:
-                self._limits.discard(limit)
+                self._send_timeouts.discard(send_timeout)
 
     def _withdraw(self, command):
-        """Carry out a `sends.Withdraw`."""
+        """Execute a `sends.Withdraw`, unless the answer has begun meanwhile."""
         send = self._send_by_request.get(command.request_id)
         if send is not None and send.attempt == command.attempt:
             send.withdraw(command.reason)
 
-    def _keep(self, forward):
-        """Have a send withdrawn no more, as its answer is there.
+    def _prevent_withdrawal(self, forward):
+        """Protect a send from withdrawal, since its answer has begun.
 
-        Where the host ends, its limit stays as that has set it.
+        A withdrawal whose timeout has not fired yet is undone. If the host is
+        ending, the send still times out at once.
         """
         send = self._send_by_request.pop(forward.request_id, None)
         if send is not None and not self._is_ending:
-            send.keep()
+            send.undo_withdrawal()
 
-    def _after_limit(self, forward, send):
-        """Return what follows a send that was ended before its answer was whole.
+    def _after_timeout(self, forward, send):
+        """Return what follows a send whose timeout expired before its answer ended.
 
-        Its time is over, its host ends, or it was withdrawn.
+        Its deadline has passed, the host ends, or the send was withdrawn.
         """
         if self._is_ending:
             command = self._forwarding.host_ends(forward.request_id)
             self._log_end(forward, "host ends", command)
             return command
-        if send.withdrawn:
-            command = self._decide(
+        if send.withdrawal_reason:
+            command = self._call_core(
                 self._forwarding.ended, forward.request_id, sends.Ending.WITHDRAWN
             )
-            self._log_end(forward, f"withdrawn, {send.withdrawn}", command)
+            self._log_end(forward, f"withdrawn, {send.withdrawal_reason}", command)
             return command
-        command = self._decide(
+        command = self._call_core(
             self._forwarding.timed_out, forward.request_id, sent=True
         )
         self._log_end(forward, "timeout", command)
         return command
 
-    def _log_end(self, forward, how, command):
+    def _log_end(self, forward, ending, command):
+        """Log how a send ended, and what follows it."""
         _log.bind(request=forward.request_id).info(
             "The send to target {} ended: {}. Next: {}.",
             forward.target,
-            how,
+            ending,
             type(command).__name__
             if not isinstance(command, commands.Refuse)
             else f"{command.code}, {command.outcome}",
         )
 
     async def _exchange(self, http, body, forward, answer):
-        """Make one exchange with a target.
+        """Send a request to a target and relay the answer.
 
         Returns
         -------
         ending : sends.Ending or None
-            None once the caller has its whole answer.
+            How the send ended; None once the caller has its complete answer.
+
+        Raises
+        ------
+        TimeoutError
+            If the timeout of the whole send expires.
+        _CutOffError
+            If the caller has part of the answer, and the rest can't follow.
         """
         url = yarl.URL(f"http://{forward.address}{http.raw_path}", encoded=True)
         headers = self._dialect.send_headers(
-            http, forward, self._clock.now(), answer.cutter.last_id
+            http, forward, self._clock.now(), answer.event_splitter.last_event_id
         )
         try:
-            async with self._patience(forward, answer) as patience:
+            async with self._first_byte_timeout(forward, answer) as first_byte_timeout:
                 response = await self._session.request(
                     http.method,
                     url,
                     headers=headers,
-                    data=body.content(),
+                    data=body.payload(),
                     allow_redirects=False,
-                    server_hostname=connections.key_of(forward.target, forward.born),
+                    server_hostname=connections.connection_key(
+                        forward.target, forward.born
+                    ),
                 )
                 async with response:
-                    patience.reschedule(None)
-                    return await self._take(http, forward, response, answer)
+                    first_byte_timeout.reschedule(None)
+                    return await self._handle_response(http, forward, response, answer)
         except aiohttp.ClientConnectorError as error:
             if isinstance(error.os_error, ConnectionRefusedError):
                 return sends.Ending.REFUSED
@@ -256,32 +320,48 @@
         except aiohttp.ConnectionTimeoutError:
             return sends.Ending.UNREACHABLE
         except TimeoutError:
-            if not patience.expired():
+            if not first_byte_timeout.expired():
                 raise
             return sends.Ending.SILENT
         except aiohttp.ClientError:
             return sends.Ending.LOST
 
-    def _patience(self, forward, answer):
+    def _first_byte_timeout(self, forward, answer):
+        """Return a timeout that runs until the headers of a target's response.
+
+        It never expires if the send has no such timeout, or if the caller already
+        has part of the answer from an earlier target.
+        """
         seconds = None
         if forward.patience is not None and answer.response is None:
             seconds = forward.patience.total_seconds()
         return asyncio.timeout(seconds)
 
-    async def _take(self, http, forward, response, answer):
-        """Judge a target's answer and pass it on."""
+    async def _handle_response(self, http, forward, response, answer):
+        """Judge a target's response, and relay it if it is an answer.
+
+        Responses that don't answer the request are read but not relayed, such as
+        that the target turned it away.
+
+        Returns
+        -------
+        ending : sends.Ending or None
+            As `_exchange` returns it.
+        """
         load = self._dialect.load(response.headers)
         if load is not None:
             self._forwarding.report_load(forward.request_id, load.running, load.waiting)
         version = self._dialect.weight_version(response.headers)
         if version is not None:
             self._forwarding.report_version(forward.request_id, version)
-        idle = self._dialect.idle_time(response.headers)
-        keeps = idle is None or idle >= _SHORTEST_IDLE_SECONDS
+        idle_seconds = self._dialect.idle_time(response.headers)
+        is_reusable = idle_seconds is None or idle_seconds >= _MIN_IDLE_SECONDS
         ending = self._dialect.judge(forward, response.status, response.headers)
         if ending is not None:
-            # It is known what has become of it: "not run" must not get lost.
-            self._keep(forward)
+            # The target has already said what became of the request. A withdrawal
+            # while the rest of its response is read would lose that, for example
+            # that the request was not run.
+            self._prevent_withdrawal(forward)
         try:
             if ending is sends.Ending.FAILED:
                 answer.failure = await self._read_failure(response)
@@ -291,37 +371,49 @@
                     await response.read()
                 return ending
             if forward.streaming and response.status == 200:
-                return await self._pass_stream(http, forward, response, answer)
-            return await self._pass_plain(http, forward, response, answer)
+                return await self._relay_stream(http, forward, response, answer)
+            return await self._relay_plain(http, forward, response, answer)
         finally:
-            if not keeps or ending is sends.Ending.LOST:
+            if not is_reusable or ending is sends.Ending.LOST:
                 response.close()
 
-    async def _pass_plain(self, http, forward, response, answer):
-        """Pass an answer on: judged whole if it is small, as it comes if not."""
+    async def _relay_plain(self, http, forward, response, answer):
+        """Relay an answer that is not a stream of events.
+
+        A small answer is buffered, so that the caller gets nothing of it if the
+        target's connection breaks; a large one is relayed as it arrives.
+
+        Returns
+        -------
+        ending : sends.Ending or None
+            As `_exchange` returns it.
+        """
         self._first_byte(forward)
         protocol = _protocol(response)
-        held = bytearray()
+        buffered = bytearray()
         try:
             async for chunk in response.content.iter_chunked(_CHUNK_BYTES):
                 if answer.response is not None:
                     await self._write(answer, chunk)
                     continue
-                held += chunk
-                if len(held) > relayed.HELD_BYTES:
-                    await self._begin(http, response, answer)
-                    await self._write(answer, bytes(held))
+                buffered += chunk
+                if len(buffered) > relayed.MAX_BUFFERED_BYTES:
+                    await self._start_response(http, response, answer)
+                    await self._write(answer, bytes(buffered))
         except aiohttp.ClientError:
-            return self._broken(forward, answer)
+            return self._ending_of_broken(forward, answer)
         if not _is_framed(response) and _was_reset(protocol):
-            return self._broken(forward, answer)
+            return self._ending_of_broken(forward, answer)
         if answer.response is None:
-            answer.response = self._last_if_leaving(self._whole(response, bytes(held)))
+            answer.response = self._close_if_leaving(
+                self._buffered_response(response, bytes(buffered))
+            )
         else:
             await answer.response.write_eof()
         return None
 
-    def _whole(self, response, content):
+    def _buffered_response(self, response, content):
+        """Return a target's response as the caller gets it, with its whole body."""
         return aiohttp.web.Response(
             status=response.status,
             reason=response.reason,
@@ -330,68 +422,100 @@
         )
 
     async def _read_failure(self, response):
-        """Return a target's own failure, or None if it didn't come whole."""
+        """Return a target's failure response for the caller.
+
+        Returns
+        -------
+        failure : aiohttp.web.Response or None
+            None if the response is incomplete or too large to buffer.
+        """
         protocol = _protocol(response)
         try:
-            content = await response.content.read(relayed.HELD_BYTES)
-            whole = response.content.at_eof() or not await response.content.read(1)
+            content = await response.content.read(relayed.MAX_BUFFERED_BYTES)
+            complete = response.content.at_eof() or not await response.content.read(1)
         except aiohttp.ClientError:
             return None
-        if not whole or (not _is_framed(response) and _was_reset(protocol)):
+        if not complete or (not _is_framed(response) and _was_reset(protocol)):
             return None
-        return self._whole(response, content)
+        return self._buffered_response(response, content)
 
-    async def _pass_stream(self, http, forward, response, answer):
-        """Pass events on as they come."""
-        resumes = forward.repeats is routes.Repeats.RESUMABLE
+    async def _relay_stream(self, http, forward, response, answer):
+        """Relay a stream of server-sent events as they arrive.
+
+        On a route whose streams can be resumed, only whole events are relayed, so
+        that another target can continue after the last one.
+
+        Returns
+        -------
+        ending : sends.Ending or None
+            As `_exchange` returns it.
+        """
+        is_resumable = forward.repeats is routes.Repeats.RESUMABLE
         protocol = _protocol(response)
-        answer.cutter.restart()
-        first = True
+        answer.event_splitter.discard_partial_event()
+        is_first = True
         try:
             async for chunk in response.content.iter_any():
-                if first:
-                    first = False
+                if is_first:
+                    is_first = False
                     self._first_byte(forward)
-                if resumes:
-                    chunk = answer.cutter.feed(chunk)
+                if is_resumable:
+                    chunk = answer.event_splitter.feed(chunk)
                 if not chunk:
                     continue
                 if answer.response is None:
-                    await self._begin(http, response, answer)
+                    await self._start_response(http, response, answer)
                 await self._write(answer, chunk)
         except aiohttp.ClientError:
-            return self._broken(forward, answer)
-        cut = not _is_framed(response) and _was_reset(protocol)
-        if cut or answer.cutter.has_rest():
-            return self._broken(forward, answer)
+            return self._ending_of_broken(forward, answer)
+        is_cut_off = not _is_framed(response) and _was_reset(protocol)
+        if is_cut_off or answer.event_splitter.has_partial_event():
+            return self._ending_of_broken(forward, answer)
         if answer.response is None:
-            await self._begin(http, response, answer)
+            await self._start_response(http, response, answer)
         await answer.response.write_eof()
         return None
 
     async def _write(self, answer, chunk):
         """Write to the caller.
 
-        Guards against a caller that leaves in the middle of a stream: the
-        library's error for it is of the same kind as a target's, and the
-        request would be sent on to another target for nobody.
+        Guards against retries of a request whose caller left in the middle of a
+        stream. aiohttp raises the same kind of error for a broken connection to
+        the caller as for one to the target, so another target would run the
+        request although no one receives the answer. The conversion to
+        `_CutOffError` keeps the two apart.
+
+        Raises
+        ------
+        _CutOffError
+            If the caller's connection is broken.
         """
         try:
             await answer.response.write(chunk)
         except (aiohttp.ClientError, ConnectionError) as error:
             raise _CutOffError from error
-        answer.passed_bytes += len(chunk)
-        answer.passed_at = self._clock.now()
-
-    def _broken(self, forward, answer):
-        """Return the ending of an answer that broke off."""
-        resumes = forward.repeats is routes.Repeats.RESUMABLE
-        if answer.response is not None and not resumes:
-            self._decide(self._forwarding.broke_off, forward.request_id)
+        answer.relayed_bytes += len(chunk)
+        answer.last_relayed_at = self._clock.now()
+
+    def _ending_of_broken(self, forward, answer):
+        """Return the ending of a send whose answer broke off.
+
+        Raises
+        ------
+        _CutOffError
+            If the caller has part of the answer and no target can continue it.
+        """
+        is_resumable = forward.repeats is routes.Repeats.RESUMABLE
+        if answer.response is not None and not is_resumable:
+            self._call_core(self._forwarding.broke_off, forward.request_id)
             raise _CutOffError
         return sends.Ending.LOST
 
-    async def _begin(self, http, response, answer):
+    async def _start_response(self, http, response, answer):
+        """Send the caller the status and headers of a target's response.
+
+        The length is announced only if the response is not a stream of events.
+        """
         answer.response = aiohttp.web.StreamResponse(
             status=response.status,
             reason=response.reason,
@@ -400,13 +524,14 @@
         length = response.headers.get("Content-Length")
         if length is not None and not self._is_stream(response):
             answer.response.content_length = int(length)
-        await self._last_if_leaving(answer.response).prepare(http)
+        await self._close_if_leaving(answer.response).prepare(http)
 
-    def _last_if_leaving(self, response):
-        """Have the caller's connection closed after an answer of a leaving host.
+    def _close_if_leaving(self, response):
+        """Close the caller's connection after this response if the host is leaving.
 
-        Guards against callers that stay on a kept connection and go on sending
-        to a host which soon takes nothing that may outlast it.
+        Guards against callers that keep using a kept-alive connection to a leaving
+        host. It soon refuses every request that might not end before the host
+        does; callers that have to connect anew choose another host.
         """
         if self._driver.core.state.leaving:
             response.force_close()
@@ -416,7 +541,8 @@
         return response.content_type == "text/event-stream"
 
     def _first_byte(self, forward):
-        self._keep(forward)
+        """Record the first byte of an answer; its send is no longer withdrawn."""
+        self._prevent_withdrawal(forward)
         now = self._clock.now()
         self._forwarding.first_byte(forward.request_id, now)
         flight = self._forwarding.flight_by_request.get(forward.request_id)
@@ -429,17 +555,21 @@
                 waited.total_seconds() * 1000,
             )
 
-    def _decide(self, decide, *args, **named):
-        """Call the decision logic, and carry out what it wants besides."""
-        result = decide(*args, now=self._clock.now(), **named)
+    def _call_core(self, function, *args, **kwargs):
+        """Call a function of the decision logic and return its result.
+
+        Commands that the call emitted besides are executed too.
+        """
+        result = function(*args, now=self._clock.now(), **kwargs)
         self._driver.feed()
         return result
 
     def _refuse(self, http, refuse):
+        """Return the response for a `commands.Refuse`; count and log it."""
         refusal = self._dialect.refusal(refuse)
         self._measures.refused(refuse.code)
         _log.bind(request=refuse.request_id).info(
-            "Refused: {}, {}. {} Request {} on its connection.",
+            "Refused: {}, {}. {} It is request number {} on its connection.",
             refuse.code,
             refuse.outcome,
             refuse.message,
@@ -448,10 +578,10 @@
         response = aiohttp.web.Response(
             status=refusal.status, headers=refusal.headers, body=refusal.body
         )
-        return self._last_if_leaving(response)
+        return self._close_if_leaving(response)
 
-    def _cut(self, http):
-        """Break the caller's connection, so that its answer can't look whole."""
+    def _abort_connection(self, http):
+        """Abort the caller's connection, so that its answer can't look complete."""
         if http.transport is not None:
             http.transport.abort()
 
@@ -465,20 +595,24 @@
 
 
 def _is_framed(response):
-    """Return whether an answer says itself where it ends."""
+    """Return whether a response has a length or is chunked, which marks its end.
+
+    Otherwise it ends where the connection does, and a reset connection can look
+    like its end.
+    """
     coding = response.headers.get("Transfer-Encoding", "").lower()
     return "Content-Length" in response.headers or "chunked" in coding
 
 
-def _without_own_id(request):
-    """Refuse a request that can't be told from another.
+def _refusal_of_reused_id(request):
+    """Return the refusal of a request without an id, or with one in use.
 
-    One that bears the id of a request under way is perhaps the same one, so it
-    isn't said that it has not run.
+    A request with the id of one in flight may be a duplicate of it, so the refusal
+    doesn't promise that the request has not run.
     """
     return commands.Refuse(
         request.request_id,
         commands.Code.KEY_REUSED,
         commands.Outcome.UNKNOWN,
-        "The request has no id of its own.",
+        "The request has no id, or the id of another request in flight.",
     )
--- a/packages/daemon/sesamespindle/daemon/relayed.py
+++ b/packages/daemon/sesamespindle/daemon/relayed.py
@@ -1,121 +1,178 @@
-"""What the relay holds of one request: its body, its answer, the send under way."""
+"""State that the relay keeps of one request: body, answer and current send."""
 
 import asyncio
 
 from sesamespindle.daemon import eventstream
 from sesamespindle.decide import fingerprints
 
-# Bodies and answers up to this size are held whole, so that they can be sent
-# again or judged before they are passed on; larger ones pass through.
-HELD_BYTES = 256 * 1024
+# Request bodies and answers up to this size are buffered whole, so that a body can
+# be sent again, and an answer is known to be complete before the caller gets it.
+# Larger ones are streamed.
+MAX_BUFFERED_BYTES = 256 * 1024
 
 
 async def read_body(http):
-    """Return the `Body` of a request, held whole if it is small."""
+    """Return the `Body` of a request.
+
+    Parameters
+    ----------
+    http : aiohttp.web.BaseRequest
+        The request.
+
+    Returns
+    -------
+    body : Body
+        Buffered whole if it has at most `MAX_BUFFERED_BYTES`; of a larger one only the
+        beginning is read yet.
+    """
     if not http.body_exists:
         return Body(None)
-    held = bytearray()
+    buffered = bytearray()
     async for chunk in http.content.iter_any():
-        held += chunk
-        if len(held) > HELD_BYTES:
-            return Body(bytes(held), http.content)
-    return Body(bytes(held))
+        buffered += chunk
+        if len(buffered) > MAX_BUFFERED_BYTES:
+            return Body(bytes(buffered), http.content)
+    return Body(bytes(buffered))
+
 
+def content_digest(http, body):
+    """Return the digest by which the same request is recognised when it comes again.
 
-def content_of(http, body):
-    """Return what `fingerprints` make of a request; None if its body isn't held."""
-    if body.whole is None:
+    Parameters
+    ----------
+    http : aiohttp.web.BaseRequest
+        The request.
+    body : Body
+        Its body.
+
+    Returns
+    -------
+    content : bytes or None
+        From `fingerprints.of_content`; None if the body isn't buffered whole.
+    """
+    if body.complete is None:
         return None
     path = http.raw_path.encode("utf-8", "surrogateescape")
-    return fingerprints.of_content(http.method.encode(), path, body.whole)
+    return fingerprints.of_content(http.method.encode(), path, body.complete)
 
 
 class Body:
-    """A request's body, held or passing through.
+    """A request's body, buffered or streamed.
 
     Parameters
     ----------
-    held : bytes or None
-        The body, or its beginning.
+    buffered : bytes or None
+        The body, or its beginning if `rest` is given; None for no body.
     rest : aiohttp.StreamReader, optional
-        Where the rest comes from, once.
+        The source of the rest, which can be read only once.
+
+    Attributes
+    ----------
+    is_consumed : bool
+        Whether a streamed body was handed out, so that it can't be sent again.
     """
 
-    def __init__(self, held, rest=None):
-        self._held = held
+    def __init__(self, buffered, rest=None):
+        self._buffered = buffered
         self._rest = rest
-        self.is_spent = False
+        self.is_consumed = False
 
     @property
-    def whole(self):
-        """The whole body, or None where it passes through."""
-        return (self._held or b"") if self._rest is None else None
+    def complete(self):
+        """The whole body; None if it is streamed."""
+        return (self._buffered or b"") if self._rest is None else None
+
+    def payload(self):
+        """Return the body in a form that aiohttp sends.
 
-    def content(self):
-        """Return what the HTTP library sends as the body."""
+        Returns
+        -------
+        payload : bytes, async generator of bytes or None
+            A generator for a streamed body; None for no body.
+        """
         if self._rest is None:
-            return self._held
-        self.is_spent = True
-        return self._pass_through()
+            return self._buffered
+        self.is_consumed = True
+        return self._stream()
 
-    async def _pass_through(self):
-        yield self._held
+    async def _stream(self):
+        yield self._buffered
         async for chunk in self._rest.iter_any():
             yield chunk
 
 
 class Answer:
-    """What a caller has got of its answer."""
+    """The progress of the answer to one caller, over all sends of its request.
+
+    Attributes
+    ----------
+    response : aiohttp.web.StreamResponse or None
+        What the caller gets; None before anything was sent.
+    event_splitter : eventstream.EventSplitter
+        Splits the stream of a target into whole events.
+    failure : aiohttp.web.Response or None
+        The last failure response of a target, which may become the final answer;
+        None if there was none, or it was incomplete.
+    relayed_bytes : int
+        Bytes of the answer written to the caller.
+    last_relayed_at : datetime.datetime or None
+        When the last of them were written.
+    """
 
     def __init__(self):
         self.response = None
-        self.cutter = eventstream.EventCutter()
+        self.event_splitter = eventstream.EventSplitter()
         self.failure = None
-        self.passed_bytes = 0
-        self.passed_at = None
-
-    def describe(self, now):
-        """Return how far the answer has come, for the log."""
-        if self.passed_at is None:
-            return "nothing of the answer was passed on"
-        silent = (now - self.passed_at).total_seconds() * 1000
+        self.relayed_bytes = 0
+        self.last_relayed_at = None
+
+    def describe_progress(self, now):
+        """Return how much of the answer the caller has at `now`, for the log."""
+        if self.last_relayed_at is None:
+            return "nothing of the answer was relayed"
+        idle_ms = (now - self.last_relayed_at).total_seconds() * 1000
         return (
-            f"{self.passed_bytes} bytes of the answer were passed on, "
-            f"the last {silent:.0f} ms ago"
+            f"{self.relayed_bytes} bytes of the answer were relayed, "
+            f"the last {idle_ms:.0f} ms ago"
         )
 
 
 class Send:
-    """A send whose answer has not begun, which may be withdrawn.
+    """A send whose answer has not begun, so that it can still be withdrawn.
 
     Parameters
     ----------
     attempt : int
-        Which send of its request it is.
-    limit : asyncio.Timeout
-        Ends it.
+        Its number among the sends of the request, from 1.
+    timeout : asyncio.Timeout
+        The timeout of the send, which must be running.
+
+    Attributes
+    ----------
+    withdrawal_reason : str
+        Why the send was withdrawn, for the log; empty if it was not.
     """
 
-    def __init__(self, attempt, limit):
+    def __init__(self, attempt, timeout):
         self.attempt = attempt
-        self._limit = limit
-        self._ends_at = limit.when()
-        # Why it is withdrawn, for the log; empty while it isn't.
-        self.withdrawn = ""
+        self._timeout = timeout
+        self._ends_at = timeout.when()
+        self.withdrawal_reason = ""
 
     def withdraw(self, reason):
-        """End it now, unless it ends already."""
-        if self._limit.expired():
+        """Make the send time out at once, unless it has timed out already."""
+        if self._timeout.expired():
             return
-        self.withdrawn = reason
-        self._limit.reschedule(asyncio.get_running_loop().time())
+        self.withdrawal_reason = reason
+        self._timeout.reschedule(asyncio.get_running_loop().time())
 
-    def keep(self):
-        """Let it come to its end after all.
+    def undo_withdrawal(self):
+        """Undo a withdrawal whose timeout has not fired yet.
 
-        Guards against an answer that begins in the instant of its withdrawal: its
-        caller would get a beginning without an end.
+        Guards against an answer that is cut off because its first byte and the
+        withdrawal of its send coincide: the caller would get the beginning of an
+        answer without the end. The send gets its former deadline back.
         """
-        if self.withdrawn and not self._limit.expired():
-            self._limit.reschedule(self._ends_at)
-            self.withdrawn = ""
+        if self.withdrawal_reason and not self._timeout.expired():
+            self._timeout.reschedule(self._ends_at)
+            self.withdrawal_reason = ""
--- a/packages/daemon/sesamespindle/daemon/replies.py
+++ b/packages/daemon/sesamespindle/daemon/replies.py
@@ -1,4 +1,4 @@
-"""Answers to callers in the forms of the OpenAI API."""
+"""Responses to callers in the format of the OpenAI API."""
 
 import json
 import math
@@ -36,18 +36,22 @@
 
 
 class CallerError(Exception):
-    """A request that gets an error, after which nothing of it runs.
+    """An error that is the final answer to a caller's request.
 
     Parameters
     ----------
     status : int
         The HTTP status.
     code : str
-        Our code.
+        The error code: a `commands.Code`, or one that only the HTTP API uses.
+    message : str
+        The description for the caller.
     retry_after : datetime.timedelta, optional
-        When to come back.
+        How long the caller should wait before it retries.
     outcome : commands.Outcome
-        What the caller may rely on.
+        Whether the request has certainly not run, or may have run.
+    param : str, optional
+        The field of the body that the error is about.
     """
 
     def __init__(
@@ -68,17 +72,17 @@
         self.param = param
 
     def to_value(self):
-        """Return the error as the body of an answer."""
+        """Return the error as the JSON object of a response body."""
         retry_after = None
         if self.retry_after is not None:
             retry_after = round(self.retry_after.total_seconds(), 3)
-        kind = _TYPE_BY_STATUS.get(
+        error_type = _TYPE_BY_STATUS.get(
             self.status, "server_error" if self.status >= 500 else "invalid_request"
         )
         return {
             "error": {
                 "message": self.message,
-                "type": kind,
+                "type": error_type,
                 "param": self.param,
                 "code": self.code,
                 "outcome": self.outcome.value,
@@ -87,7 +91,11 @@
         }
 
     def to_response(self):
-        """Return the error as a whole answer."""
+        """Return the error as an `aiohttp.web.Response`.
+
+        The Retry-After header is in whole seconds, at least 1; the body has it to
+        the millisecond.
+        """
         headers = {OUTCOME_HEADER: self.outcome.value}
         if self.retry_after is not None:
             seconds = math.ceil(self.retry_after.total_seconds())
@@ -97,8 +105,8 @@
         )
 
 
-def of_refusal(refusal):
-    """Return the `CallerError` of a `commands.Refuse`."""
+def from_refusal(refusal):
+    """Return the `CallerError` for a `commands.Refuse`."""
     return CallerError(
         _STATUS_BY_CODE[refusal.code],
         refusal.code.value,
@@ -108,8 +116,8 @@
     )
 
 
-class AnswerForm:
-    """Builds the objects of one answer, for chats or plain completions.
+class AnswerFormatter:
+    """Builds the JSON objects of one answer, for a chat or a plain completion.
 
     Parameters
     ----------
@@ -117,8 +125,10 @@
         Whether the caller asked for a chat completion.
     answer_id : str
         The id that all objects of the answer carry.
+    model : str
+        The model's name.
     created : int
-        Seconds since the epoch.
+        When the answer was created, in seconds since the epoch.
     """
 
     def __init__(self, is_chat, answer_id, model, created):
@@ -129,58 +139,62 @@
         self._chunk_head, self._chunk_tail = self._chunk_frame()
 
     def chunk(self, text):
-        """Return one token of a stream as JSON text."""
+        """Return the chunk for one token of a stream, as JSON text."""
         return f"{self._chunk_head}{json.dumps(text)}{self._chunk_tail}"
 
     def first_chunk(self):
-        """Return the chunk that names the role, or None where there is none."""
+        """Return the chunk with the role as JSON text; None for a plain completion."""
         if not self._is_chat:
             return None
         delta = {"role": "assistant", "content": ""}
-        return self._object_text([{"index": 0, "delta": delta, "finish_reason": None}])
+        return self._serialize([{"index": 0, "delta": delta, "finish_reason": None}])
 
     def last_chunk(self, finish_reason):
-        """Return the chunk that ends a stream."""
+        """Return the chunk that ends the choices of a stream, as JSON text."""
         if self._is_chat:
             choice = {"index": 0, "delta": {}, "finish_reason": finish_reason}
         else:
             choice = {"index": 0, "text": "", "finish_reason": finish_reason}
-        return self._object_text([choice])
+        return self._serialize([choice])
 
     def usage_chunk(self, usage):
-        """Return the chunk that carries the usage."""
-        return self._object_text([], usage)
+        """Return the chunk with the token usage, as JSON text."""
+        return self._serialize([], usage)
 
-    def whole(self, text, finish_reason, usage):
-        """Return the answer of a request that is not streamed."""
+    def complete_answer(self, text, finish_reason, usage):
+        """Return the JSON object of an answer that is not streamed."""
         if self._is_chat:
             content = {"message": {"role": "assistant", "content": text}}
         else:
             content = {"text": text}
         choice = {"index": 0, "finish_reason": finish_reason, "logprobs": None}
-        value = self._object("chat.completion", [choice | content])
+        value = self._make_object("chat.completion", [choice | content])
         value["usage"] = usage
         return value
 
     def _chunk_frame(self):
+        """Return the JSON text before and after the token of a chunk.
+
+        Only the token differs between chunks, so the rest is serialised once.
+        """
         marker = "\0"
         if self._is_chat:
             choice = {"index": 0, "delta": {"content": marker}, "finish_reason": None}
         else:
             choice = {"index": 0, "text": marker, "finish_reason": None}
-        head, tail = self._object_text([choice]).split(json.dumps(marker))
+        head, tail = self._serialize([choice]).split(json.dumps(marker))
         return head, tail
 
-    def _object_text(self, choices, usage=None):
-        value = self._object("chat.completion.chunk", choices)
+    def _serialize(self, choices, usage=None):
+        value = self._make_object("chat.completion.chunk", choices)
         if usage is not None:
             value["usage"] = usage
         return json.dumps(value)
 
-    def _object(self, chat_name, choices):
+    def _make_object(self, chat_object_type, choices):
         return {
             "id": self._id,
-            "object": chat_name if self._is_chat else "text_completion",
+            "object": chat_object_type if self._is_chat else "text_completion",
             "created": self._created,
             "model": self._model,
             "choices": choices,
@@ -188,7 +202,15 @@
 
 
 def usage(prompt_tokens, answer_tokens, started):
-    """Return the usage of an answer; `started` may be None."""
+    """Return the token usage of an answer as a JSON object.
+
+    Parameters
+    ----------
+    prompt_tokens, answer_tokens : int
+        Tokens of the prompt, and tokens of the answer that the caller received.
+    started : sesamespindle.wire.engine.Started or None
+        What the engine reported of its KV cache; None if no engine reported.
+    """
     cached = 0
     imported = 0
     if started is not None:
