--- a/packages/decide/sesamespindle/decide/gossip.py
+++ b/packages/decide/sesamespindle/decide/gossip.py
@@ -1,4 +1,8 @@
-"""Gossip messages between daemons: members, declarations, targets and KV stores."""
+"""Gossip messages between daemons: members, declarations, targets and KV stores.
+
+Times in these records are by the clock of the host that has the record. On the wire a
+time is an age, which the receiver subtracts from a time by its own clock.
+"""
 
 import dataclasses
 import datetime
@@ -100,7 +104,7 @@
     tokens : int
         Prompt tokens that wait for prefill.
     held_tokens : int
-        Tokens of KV cache that its requests need until they end.
+        Tokens of KV cache that the sender's requests need until they end.
     """
 
     life: lives.Life
@@ -115,7 +119,7 @@
     Attributes
     ----------
     last_act_at : datetime.datetime
-        When the holder last acted, by the clock of the host that keeps this record.
+        When the holder last acted.
     """
 
     epoch: int
@@ -124,7 +128,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreWord:
-    """How far the sender knows the changes of a KV store.
+    """The sender's position in the changes of a KV store, and the store's status.
 
     Attributes
     ----------
@@ -133,11 +137,12 @@
     position : int
         The store's latest change that the sender knows.
     told_at : datetime.datetime
-        When it was last known whether the store responds.
+        When the sender or another host last found out whether the store responds.
     is_silent : bool
         Whether the store did not respond then.
     clock_lead : float or None
-        Milliseconds by which the engines' clock is ahead.
+        Milliseconds by which the engines' clock is ahead of this host's; None if
+        unknown.
     """
 
     store: str
@@ -157,7 +162,7 @@
     boot : int
         Identifies the start of the store that the positions count from.
     since : int
-        The position after which the changes follow; 0 with a whole list.
+        The position after which the changes follow; 0 if `whole_list` is set.
     position : int
         The position that the receiver reaches by these changes.
     whole_list : bool
@@ -181,7 +186,7 @@
     Attributes
     ----------
     at : datetime.datetime
-        When it ended, by the clock of the host that keeps this record.
+        When it ended.
     suspects : tuple of str
         The fingerprints of the requests that were in flight there.
     is_refuted : bool
@@ -197,12 +202,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClearedRequest:
-    """A request that crashed no target up to a time.
+    """A request that is known to have crashed no target until a given time.
 
     Attributes
     ----------
     at : datetime.datetime
-        That time, by the clock of the host that keeps this record.
+        That time; crashes before it don't count against the request.
     """
 
     fingerprint: str
@@ -216,7 +221,7 @@
     Attributes
     ----------
     decided_at : datetime.datetime
-        When it was quarantined, by the clock of the host that keeps this record.
+        When it was quarantined.
     crashes : int
         The number of targets that it had crashed then.
     tries : int
@@ -247,6 +252,10 @@
 
     Attributes
     ----------
+    wanted : tuple of str
+        Names of the members whose records the sender asks the receiver for.
+    revision : int
+        The revision of the sender's active configuration.
     brief : bool
         Whether the message carries only pending work, between two rounds.
     """
--- a/packages/decide/sesamespindle/decide/sliceholder.py
+++ b/packages/decide/sesamespindle/decide/sliceholder.py
@@ -1,4 +1,8 @@
-"""The slices of accounts' limits that this entry holds."""
+"""The slices of accounts' limits that this entry holds.
+
+Each account has an owner: the entry that divides the account's limits into slices. See
+`slices`.
+"""
 
 import collections
 import dataclasses
@@ -29,7 +33,7 @@
     expires_at : datetime.datetime or None
         When the grant expires; None before the first.
     asked_at : datetime.datetime or None
-        When the owner was first asked.
+        When this entry first asked the account's owner for the slice.
     needed_at : datetime.datetime or None
         When a request last needed the slice.
     pending_since : datetime.datetime or None
@@ -69,8 +73,9 @@
     def slots(self, account, resource, now):
         """Return how many requests of an account may run here now.
 
-        This is the slice from the owner. If no owner has answered for long enough, it
-        is the fallback share.
+        This is the slice that the owner granted, or 0 without a valid grant. Once no
+        owner is considered reachable, it is the fallback share of the limit instead
+        (see `slices.fallback_share`).
         """
         row = self.held.get((account.name, resource))
         if row is None:
@@ -129,7 +134,7 @@
         self._ask(short, now)
 
     def holding(self, key, now):
-        """Return the slice held for a key as a `events.SliceAsk`, or None."""
+        """Return an `events.SliceAsk` that states the slice held for a key, or None."""
         row = self.held.get(key)
         return self._make_ask(row, now) if row is not None else None
 
