--- a/packages/wire/sesamespindle/wire/clock.py
+++ b/packages/wire/sesamespindle/wire/clock.py
@@ -13,7 +13,7 @@
 
 
 class SystemClock:
-    """The host's wall clock at construction, advanced by the time since boot.
+    """The host's wall clock at construction, advanced by the time elapsed since.
 
     Guards against a host clock that is set back while the process runs, which
     would make deadlines and leases last longer than they should. The wall clock
