--- a/packages/declare/sesamespindle/declare/kinds.py
+++ b/packages/declare/sesamespindle/declare/kinds.py
@@ -78,6 +78,10 @@
     ----------
     starts_at : datetime.datetime
         The start; UTC if it has no time zone.
+    lead : datetime.timedelta
+        The lead time before the start.
+    lasts : datetime.timedelta
+        How long the event lasts.
     shares : tuple of EventShare
         Each account's share of the pool; together at most 1.
     """
@@ -131,7 +135,7 @@
     repeatable_paths : tuple of str
         Paths of a service that may be called again after a lost answer.
     store : str or None
-        The pool of store hosts that keeps the engines' contexts.
+        The pool of store hosts that keeps the engines' KV caches.
     """
 
     targets: declared.TargetKind
@@ -151,7 +155,13 @@
 
 
 class Target(_Kind):
-    """A host that serves a pool; its address comes from the platform's host list."""
+    """A host that serves a pool; its address comes from the platform's host list.
+
+    Attributes
+    ----------
+    checks_fencing : bool
+        Whether the target checks fencing tokens; no decision uses it yet.
+    """
 
     pool: Name
     data_centre: Name
