--- a/packages/cli/sesamespindle/cli/context.py
+++ b/packages/cli/sesamespindle/cli/context.py
@@ -1,4 +1,4 @@
-"""Connections of a command to the platform and the daemons, and its variables."""
+"""A command's connections to the platform and daemons; its environment variables."""
 
 import asyncio
 import contextlib
@@ -63,8 +63,9 @@
     async def admin_urls(self):
         """Return the admin URLs of all daemons.
 
-        They come from the environment if it has any, which also works while the
-        platform is unavailable; else from the platform's host list.
+        If the environment variable for admin URLs is set, they come from it, which also
+        works while the platform is unavailable. Otherwise they come from the platform's
+        host list.
         """
         given = self._environment.get(ADMIN_URLS_VARIABLE)
         if given:
--- a/packages/cli/sesamespindle/cli/explain.py
+++ b/packages/cli/sesamespindle/cli/explain.py
@@ -8,6 +8,7 @@
 # Lines that concern no request are shown if they are at most this much earlier or
 # later than the request's own lines, from the same host.
 _CONTEXT_WINDOW = datetime.timedelta(seconds=3)
+# The parts of the daemon whose lines are shown so.
 _CONTEXT_PARTS = ("decide", "platform", "daemon")
 _FINGERPRINT = re.compile(r"\b[0-9a-f]{32}\b")
 # Pairs of a text in log messages and the cause that it indicates. The first match
@@ -177,13 +178,13 @@
         and line.part in _CONTEXT_PARTS
         and first <= line.at <= last
     )
-    crashes = _crashes_under(lines, decisions)
+    crashes = _crash_lines(lines, decisions)
     return Explanation(
         decisions[0].request, decisions, nearby, _cause(decisions), crashes
     )
 
 
-def _crashes_under(lines, decisions):
+def _crash_lines(lines, decisions):
     """Return the lines about crashes with this request in flight.
 
     They concern no request by id; they contain the request's fingerprint, which one
