--- a/tests/decide/test_evacuations.py
+++ b/tests/decide/test_evacuations.py
@@ -66,10 +66,12 @@
     assert sent_to(core) == {"desk-1", "desk-2"}
 
 
-def test_targets_of_a_lifted_evacuation_count_as_cold_until_their_records_say_more():
-    """Targets turn cold while their data centre is evacuated.
+def test_targets_count_as_cold_after_an_evacuation_until_a_newer_record_arrives():
+    """Targets may restart, and so turn cold, while their data centre is evacuated.
 
-    When the evacuation is lifted, all hosts would send to them at once.
+    Guards against all hosts sending to them at once when the evacuation is lifted,
+    before the records arrive that say that they are cold. A cold target crashes under
+    more requests than it can handle. A record from before the lifting changes nothing.
     """
     core = make_core()
     configuration = gateways.make_cold_configuration()
--- a/tests/decide/test_weights.py
+++ b/tests/decide/test_weights.py
@@ -1,4 +1,9 @@
-"""How long a weight version has been superseded, as far as a host can know."""
+"""How long a weight version has been superseded, as far as a host can know.
+
+Runs may begin on superseded weights for 8 s after the newer version is announced. A
+host sends runs to them for 0.8 of that, 6.4 s. A host that doesn't know when the
+version was announced sends for 0.8 of 3 s, 2.4 s, after its own start.
+"""
 
 import datetime
 
@@ -49,7 +54,7 @@
     """A host restarts 5 s after a version was announced.
 
     It can't find out by itself when that was, but a peer that received the
-    announcement knows: runs may begin on the older weights for 1.4 s more.
+    announcement knows: of the 6.4 s, 1.4 s are left.
     """
     peer, started = make_core(), make_core()
     peer.step(NOW, [weights.VersionNamed("m", 2)])
@@ -61,7 +66,7 @@
     assert not may_begin(started, NOW + 6.5 * SECOND)
 
 
-def test_of_two_hosts_the_earlier_time_counts():
+def test_the_earliest_time_at_which_a_host_received_an_announcement_counts():
     first, last = make_core(), make_core()
     first.step(NOW, [weights.VersionNamed("m", 2)])
     last.step(NOW + 3 * SECOND, [weights.VersionNamed("m", 2)])
@@ -71,7 +76,8 @@
     assert not may_begin(first, NOW + 6.5 * SECOND)
 
 
-def test_only_versions_whose_time_is_not_over_are_gossiped():
+def test_versions_announced_too_long_ago_to_matter_are_not_gossiped():
+    """They are gossiped for 11 s: the 8 s, and 3 s for hosts that have just started."""
     core = make_core()
     core.step(NOW, [weights.VersionNamed("m", 2)])
     core.step(NOW + 10 * SECOND, [events.Tick()])
@@ -86,12 +92,12 @@
     assert core.state.namings.told == ()
 
 
-def test_a_time_before_an_announcement_is_gossiped_as_one():
+def test_a_lower_bound_of_an_announcements_time_is_gossiped():
     """No host received an announcement as it was made, as all watches had broken.
 
     Hosts that read the version later know a time at which it wasn't announced yet.
-    Without that time their peers would consider the version of any age, and refuse
-    requests that they may serve.
+    Without that time, their peers couldn't rule out that the version was announced long
+    ago, and would refuse requests that they may serve.
     """
     reader, other = make_core(), make_core()
     later = NOW + 6 * SECOND
@@ -140,7 +146,7 @@
     assert [naming.version for naming in core.state.namings.told] == [2]
 
 
-def test_an_answer_that_waited_here_is_dated_from_its_request():
+def test_ages_in_a_delayed_answer_count_from_its_request():
     """A host is paused while a peer's answer is in flight, and resumes 4 s later.
 
     Ages in the answer count from when the host asked, so that they aren't too low.
@@ -182,8 +188,9 @@
 
     No host knows for how long, so all prompts would be refused until the first engine
     has loaded the new weights, some tenths of a second after a host takes the lease.
-    A host that has just started is exempt from the time allowed for a while, and
-    meanwhile prefers engines with the new weights.
+    So for 2.4 s after its start a host may send prompts to weights that were superseded
+    at an unknown time. Meanwhile it prefers engines with the new weights: such
+    superseded weights have the highest cost, 1.
     """
     core = make_core()
     core.step(NOW, [weights.VersionFound("m", 2, None)])
@@ -218,10 +225,10 @@
     assert not may_begin(core, NOW + 6.5 * SECOND)
 
 
-@pytest.mark.parametrize("quiet", [0.1, 0.9])
-def test_late_steps_are_no_pause(quiet):
+@pytest.mark.parametrize("gap_seconds", [0.1, 0.9])
+def test_late_steps_are_no_pause(gap_seconds):
     core = make_core()
-    core.step(NOW + quiet * SECOND, [events.Tick()])
+    core.step(NOW + gap_seconds * SECOND, [events.Tick()])
     assert not core.state.pauses.paused_since(NOW)
 
 
@@ -232,18 +239,19 @@
     assert not core.state.pauses.paused_since(NOW + 1.1 * SECOND)
 
 
-def test_a_sure_time_takes_precedence_in_any_order():
-    sure = namings.Naming("m", 2, 1, NOW, True)
+def test_a_received_announcement_takes_precedence_in_any_order():
+    """A time at which it wasn't announced yet, or an unknown one, changes nothing."""
+    announced = namings.Naming("m", 2, 1, NOW, True)
     found = namings.Naming("m", 2, 0, NOW - 5 * SECOND, False)
-    at_any_time = namings.Naming("m", 2, 0, None, False)
-    for order in ([sure, found, at_any_time], [at_any_time, found, sure]):
+    unknown = namings.Naming("m", 2, 0, None, False)
+    for order in ([announced, found, unknown], [unknown, found, announced]):
         known = namings.Namings()
         for naming in order:
             known.learn(naming)
-        assert known.get("m", 2) == sure
+        assert known.get("m", 2) == announced
 
 
-def test_the_later_of_two_times_before_an_announcement_counts():
+def test_the_higher_of_two_lower_bounds_of_an_announcements_time_counts():
     known = namings.Namings()
     known.learn(namings.Naming("m", 2, 0, None, False))
     known.learn(namings.Naming("m", 2, 1, NOW, False))
