--- a/tests/platform/test_named_versions.py
+++ b/tests/platform/test_named_versions.py
@@ -71,7 +71,7 @@
 
 @contextlib.asynccontextmanager
 async def _following(host):
-    """Follow the announced versions; give the first watch."""
+    """Follow the announced versions; yield the first watch, for the test to answer."""
     task = asyncio.create_task(host.feeds.watch(feeds.VERSIONS))
     try:
         yield await host.store.watches.get()
@@ -85,9 +85,9 @@
 
     A version was announced, then all hosts lost power and restarted. If a host counts
     the version's age from its first reading of the platform, it sends prompts to the
-    older weights for another 6.4 s. Observed: answers from weights that had been
-    superseded for 11 s, where 8 s are allowed. In such a host's log `version_named`
-    follows `Listens at`.
+    older weights for another 6.4 s, 0.8 of the 8 s allowed. Observed: answers from
+    weights that had been superseded for 11 s. It shows in the log of such a host, where
+    a line `version_named` follows the line `Listens at` of its start.
     """
 
     async def run():
@@ -105,8 +105,8 @@
 
     A host's process was paused for 6 s, and a version was announced right after the
     pause began. The answer to its watch waited in a buffer when it woke up. If it
-    counts the version's age from then, it sends prompts to superseded weights too long;
-    observed: 11 s after the announcement.
+    counts the version's age from then, it sends prompts to superseded weights too long.
+    Observed: 11 s after the announcement.
     """
 
     async def run():
--- a/tests/platform/test_orders.py
+++ b/tests/platform/test_orders.py
@@ -8,7 +8,7 @@
 from sesamespindle.platform import orders
 
 
-class Servers:
+class Engines:
     """Engines that answer each order with one status, or None for no answer."""
 
     def __init__(self, status):
@@ -42,13 +42,13 @@
     Any other answer, or none, doesn't show that it loads them.
     """
 
-    async def play():
+    async def run_order():
         driver = Driver()
-        order_runner = orders.Orders(driver, None, Servers(status))
+        order_runner = orders.Orders(driver, None, Engines(status))
         order = rollout.OrderVersion("llm-0", "a:0", "m", 2, 1, 3)
         driver.handler_by_command[rollout.OrderVersion](order)
         await asyncio.gather(*order_runner._tasks)
         return driver.fed
 
     accepted = [rollout.OrderAccepted("llm-0", 3)]
-    assert asyncio.run(play()) == (accepted if status == 202 else [])
+    assert asyncio.run(run_order()) == (accepted if status == 202 else [])
