--- a/tests/declare/test_documents.py
+++ b/tests/declare/test_documents.py
@@ -96,14 +96,14 @@
         ("api: other/v1\n", "wrong_api"),
     ],
 )
-def test_file_that_is_not_a_declaration(tmp_path, text, code):
+def test_a_file_that_is_not_a_declaration_is_reported(tmp_path, text, code):
     (tmp_path / "file.yaml").write_text(text)
     with pytest.raises(findings.FindingsError) as caught:
         documents.read_folder(tmp_path)
     assert [item.code for item in caught.value.findings] == [code]
 
 
-def test_folder_without_files(tmp_path):
+def test_a_folder_without_files_is_reported(tmp_path):
     with pytest.raises(findings.FindingsError) as caught:
         documents.read_folder(tmp_path)
     assert [item.code for item in caught.value.findings] == ["no_files"]
