--- a/tests/deploy/test_build.py
+++ b/tests/deploy/test_build.py
@@ -15,6 +15,7 @@
 import pytest
 
 ROOT = pathlib.Path(__file__).parent.parent.parent
+# The folders whose code the build copies, in the order in which it copies them.
 PACKAGES = ["packages/decide", "packages/declare", "packages/wire", "packages/daemon"]
 PACKAGES = [*PACKAGES, "platform"]
 # A module in the first package that the build copies, and one in the last.
@@ -96,7 +97,7 @@
         assert self.start_build(path).wait() == 0
 
     def start(self, program):
-        """Start a program as a daemon is started, with no other code to import."""
+        """Start a program that can import only the installed code, as a daemon does."""
         return subprocess.Popen(
             [sys.executable, "-S", "-c", program],
             env={"PYTHONPATH": str(self.deps)},
@@ -202,7 +203,9 @@
     assert checkout.files() == before
 
 
-@pytest.mark.parametrize("is_unversioned", [False, True], ids=["built", "plain"])
+@pytest.mark.parametrize(
+    "is_unversioned", [False, True], ids=["versioned", "unversioned"]
+)
 def test_daemons_that_start_during_a_build_load_one_version(checkout, is_unversioned):
     """Daemons start before and after each step of a build that changes the code.
 
@@ -222,7 +225,9 @@
     assert checkout.daemon_output() == "new new compiled"
 
 
-@pytest.mark.parametrize("is_unversioned", [False, True], ids=["built", "plain"])
+@pytest.mark.parametrize(
+    "is_unversioned", [False, True], ids=["versioned", "unversioned"]
+)
 def test_a_daemon_that_loads_modules_during_a_build_keeps_its_version(
     checkout, is_unversioned
 ):
@@ -244,14 +249,15 @@
 
 
 def test_old_versions_are_removed(checkout):
+    """A build keeps the three latest versions of the code."""
     checkout.install_unversioned()
-    sizes = []
+    kept_counts = []
     for number in range(6):
         checkout.write_version(f"{number}")
         checkout.build()
         assert checkout.daemon_output() == f"{number} {number} compiled"
-        sizes.append(sum(1 for _ in checkout.package.rglob("last.py")))
-    assert sizes[-1] == sizes[-2] == 3
+        kept_counts.append(sum(1 for _ in checkout.package.rglob("last.py")))
+    assert kept_counts[-1] == kept_counts[-2] == 3
 
 
 def test_a_version_that_is_built_again_counts_as_recent(checkout):
