--- a/tests/daemon/test_front.py
+++ b/tests/daemon/test_front.py
@@ -61,7 +61,8 @@
 
 
 @pytest.mark.parametrize("model", ["no-such-model", "desk"])
-def test_unavailable_model_is_unknown(client, go, model):
+def test_model_that_the_account_may_not_use_is_unknown(client, go, model):
+    """There is a model desk, but the account may not use its pool."""
     with pytest.raises(openai.NotFoundError) as caught:
         go(client.completions.create(model=model, prompt="x", max_tokens=1))
     assert caught.value.body["code"] == "unknown_model"
@@ -88,6 +89,7 @@
 
 
 def nested_body(levels):
+    """Return the body of a completion request with nested lists in one field."""
     return json.dumps({"model": "glossary", "prompt": "x", "stop": 0}).replace(
         "0", "[" * levels + "]" * levels
     )
@@ -137,10 +139,10 @@
                 await count_received(shared_fleet) - before,
             )
 
-    response_status, value, ran = go(post())
+    response_status, value, run_count = go(post())
     assert (response_status, value["error"]["code"]) == (status, code)
     assert value["error"]["outcome"] == "not_run"
-    assert ran == 0
+    assert run_count == 0
     assert go(is_healthy(shared_fleet))
 
 
--- a/tests/daemon/test_main.py
+++ b/tests/daemon/test_main.py
@@ -1,4 +1,4 @@
-"""The daemon's process after it has announced itself."""
+"""The daemon's process after it has announced its addresses on standard output."""
 
 import signal
 
@@ -8,7 +8,9 @@
 from sesamespindle.lab import fleet, processes
 
 
-def test_an_entry_leaves_in_order_on_sigterm_just_after_its_announcement(go, tmp_path):
+def test_an_entry_shuts_down_cleanly_on_sigterm_just_after_its_announcement(
+    go, tmp_path
+):
     """SIGTERM arrives just after a new entry has announced itself.
 
     If the ports are open some milliseconds before the handler of SIGTERM is installed,
