--- a/packages/lab/sesamespindle/lab/answers.py
+++ b/packages/lab/sesamespindle/lab/answers.py
@@ -1,4 +1,8 @@
-"""The answers of the stand-in engine, which spell their own prompt."""
+"""Deterministic answers of the stand-in engine.
+
+Each token is a hash of the prompt and of the token's position, so a test can compute
+the correct answer to a prompt and detect a lost, repeated or foreign token.
+"""
 
 import hashlib
 
@@ -6,7 +10,15 @@
 
 
 def token(prompt_digest, position):
-    """Return the token at a position, from 1, of the answer to a prompt."""
+    """Return the token at a position of the answer to a prompt.
+
+    Parameters
+    ----------
+    prompt_digest : bytes
+        The prompt's `digest`.
+    position : int
+        The token's position in the answer, counted from 1.
+    """
     raw = hashlib.blake2b(
         prompt_digest + position.to_bytes(4, "big"), digest_size=_DIGEST_BYTES
     )
@@ -14,11 +26,11 @@
 
 
 def digest(prompt):
-    """Return what `token` needs of a prompt."""
+    """Return the 16-byte digest of a prompt that `token` takes."""
     return hashlib.blake2b(prompt.encode(), digest_size=16).digest()
 
 
 def expected(prompt, count):
-    """Return the whole answer of a number of tokens to a prompt."""
+    """Return the complete answer to a prompt, of `count` tokens."""
     prompt_digest = digest(prompt)
     return "".join(token(prompt_digest, place) for place in range(1, count + 1))
--- a/packages/lab/sesamespindle/lab/bench.py
+++ b/packages/lab/sesamespindle/lab/bench.py
@@ -1,4 +1,4 @@
-"""The bench: a trace replayed side by side under several ways of routing."""
+"""A benchmark that replays one trace under several routing policies."""
 
 import pathlib
 
@@ -14,7 +14,25 @@
 
 
 async def run(example, routings, show):
-    """Replay an example's trace under each routing; return whether all held."""
+    """Replay an example's trace under each routing policy and write the report.
+
+    The stated outcomes of the example are checked only if `routings` contains every
+    policy of `ROUTINGS`, as they compare policies with each other.
+
+    Parameters
+    ----------
+    example : str
+        The name of an example, a key of `traces.SHAPE_BY_NAME`.
+    routings : sequence of str
+        The routing policies, each replayed on a new fleet.
+    show : callable
+        Receives each line of progress.
+
+    Returns
+    -------
+    bool
+        Whether all outcomes that were checked were met.
+    """
     arrivals = traces.make(traces.SHAPE_BY_NAME[example], _SEED)
     runs = []
     for routing in routings:
--- a/packages/lab/sesamespindle/lab/caller.py
+++ b/packages/lab/sesamespindle/lab/caller.py
@@ -1,4 +1,8 @@
-"""A caller as tests and loads need it: every answer, and streams read on."""
+"""An HTTP client for tests and load generation.
+
+It returns refusals and broken connections as values, and it can resume a stream that
+was interrupted.
+"""
 
 import dataclasses
 import json
@@ -13,7 +17,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class Reply:
-    """A whole answer, or None as the status where the connection broke."""
+    """An HTTP response.
+
+    Attributes
+    ----------
+    status : int or None
+        The HTTP status, or None if the connection broke before the response.
+    value : dict
+        The decoded JSON body.
+    headers : dict
+        The response headers.
+    """
 
     status: int | None
     value: dict
@@ -21,25 +35,38 @@
 
     @property
     def code(self):
-        """Return our code of a refusal, or an empty string."""
+        """Return the error code of a refusal, or an empty string."""
         return self.value.get("error", {}).get("code", "")
 
     @property
     def outcome(self):
-        """Return what a refused caller may rely on, or an empty string."""
+        """Return the `outcome` field of a refusal, or an empty string.
+
+        It says whether the refused request is known not to have run.
+        """
         return self.value.get("error", {}).get("outcome", "")
 
 
 @dataclasses.dataclass
 class Streamed:
-    """A streamed answer as far as it came.
+    """The part of a streamed answer that has been received so far.
 
     Attributes
     ----------
+    tokens : list of str
+        The tokens received, in order.
     position : str
-        The id of the last event.
+        The id of the last event, from which the stream can be resumed.
     whole : bool
-        Whether the end mark came.
+        Whether the end mark of the stream was received.
+    refusal : Reply or None
+        The error, if the request was refused or the stream ended with an error.
+    usage : dict
+        The token counts that the stream reported.
+    first_token_seconds : float
+        Seconds from sending the request to its first token; 0 if there was none.
+    target : str
+        The name of the target that answered.
     """
 
     tokens: list = dataclasses.field(default_factory=list)
@@ -52,19 +79,19 @@
 
     @property
     def text(self):
-        """Return the answer."""
+        """Return the text received so far."""
         return "".join(self.tokens)
 
 
 class Caller:
-    """One client account's caller.
+    """A client that sends requests of one client account.
 
     Parameters
     ----------
     session : aiohttp.ClientSession
-        Owned by somebody else.
+        The session to send with; the caller of this class closes it.
     key : str
-        The account's key.
+        The account's API key.
     """
 
     def __init__(self, session, key):
@@ -76,7 +103,7 @@
         return await self._request("GET", url, None, {})
 
     async def call(self, url, pool, path, body, key=""):
-        """Return the `Reply` to a call of a plain service."""
+        """Return the `Reply` to a service call, with an idempotency key if given."""
         headers = {"Idempotency-Key": key} if key else {}
         address = f"{url}/v1/services/{pool}/{path}"
         return await self._request("POST", address, body, headers)
@@ -92,14 +119,17 @@
         return await self._request("POST", f"{url}/v1/completions", body, {})
 
     async def stream(self, url, model, prompt, max_tokens, streamed=None, watch=None):
-        """Stream a prompt's answer, or read one on, and return it as `Streamed`.
+        """Stream the answer to a prompt, or resume it, and return it as `Streamed`.
+
+        If the connection breaks, the part that was received is returned.
 
         Parameters
         ----------
         streamed : Streamed, optional
-            What came so far, to be read on.
+            The part already received. It is extended in place, and the stream
+            resumes after its `position`. If None, a new stream is started.
         watch : callable, optional
-            Awaited with the answer so far after each token.
+            Awaited with the answer so far after each event that carries text.
         """
         resumes = streamed is not None
         streamed = streamed or Streamed()
@@ -145,7 +175,7 @@
 
 
 def _take_line(streamed, line, begun):
-    """Take a line of a stream in; return whether it brought a token."""
+    """Apply one line of an event stream; return whether it carried a token."""
     if line.startswith(_ID):
         streamed.position = line[len(_ID) :]
     if line == _DONE:
--- a/packages/lab/sesamespindle/lab/capacity.py
+++ b/packages/lab/sesamespindle/lab/capacity.py
@@ -1,4 +1,8 @@
-"""The tables of docs/CAPACITY.md, from measured slopes."""
+"""Generation of the tables of docs/CAPACITY.md.
+
+The costs of the decision logic and its memory are measured at growing fleet sizes, and
+the load of one daemon at the target size is computed from them.
+"""
 
 import asyncio
 import dataclasses
@@ -26,9 +30,12 @@
 CPU_BUDGET = 0.017
 MEMORY_BUDGET_MB = 32
 BYTES_BUDGET = 20_000
-# One a second with two peers inside the data centre and one outside.
+# Gossip rounds per second: with two peers in the data centre and one outside, each
+# once per second.
 GOSSIP_ROUNDS = 3
+# Ticks per second.
 TICKS = 5
+# Renewals per second of one slice.
 RENEWALS = 1 / 3
 _RPC_OVERHEAD_BYTES = 150
 _RPC_SECONDS_RUNS = 2000
@@ -42,7 +49,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class Live:
-    """What idle daemons of a fleet of real processes use, on average."""
+    """The average resource use of the idle daemons of a real fleet.
+
+    Attributes
+    ----------
+    entries : int
+        The number of daemons.
+    resident_mb : float
+        Resident memory of a daemon, in MB.
+    core_share : float
+        Processor time of a daemon, as a share of one core.
+    """
 
     entries: int
     resident_mb: float
@@ -50,10 +67,20 @@
 
 
 def measure_logic(show):
-    """Return rows of the costs of the decision logic at each size."""
+    """Measure the decision logic at each size of `SIZES`.
+
+    Returns
+    -------
+    list of tuple
+        The size and the `slopes.Cost` of a prompt, of a tick, of a slice request at
+        the account's owner, and of a gossip round.
+    """
     rows = []
     for size in SIZES:
-        show(f"Decision logic with {size.entries} entries, {size.targets} targets.")
+        show(
+            f"Measuring the decision logic: {size.entries} entries, "
+            f"{size.targets} targets."
+        )
         bench = slopes.Bench(size)
         rows.append(
             (
@@ -68,28 +95,28 @@
 
 
 def measure_memory(show):
-    """Return rows of (what, count, bytes in all) for the tables."""
+    """Return a list of (description, number of items, total size in bytes)."""
     rows = []
     for size in SIZES:
-        show(f"Memory of declarations and views, {size.accounts} accounts.")
+        show(f"Measuring the memory of all tables: {size.accounts} accounts.")
         held = slopes.bytes_of(lambda size=size: slopes.Bench(size))
         rows.append((f"all tables at {size.entries} entries", size.accounts, held))
     for count in (1_000, 5_000, 20_000):
-        show(f"Memory of {count} contexts.")
+        show(f"Measuring the memory of {count} contexts.")
         held = slopes.bytes_of(lambda count=count: _fill_contexts(count))
         rows.append(("contexts", count, held))
     for count in (100, 1_000, 10_000):
-        show(f"Memory of {count} keys.")
+        show(f"Measuring the memory of {count} idempotency keys.")
         held = slopes.bytes_of(lambda count=count: _fill_keys(count))
         rows.append(("keys with an answer of 1 KB", count, held))
     return rows
 
 
 async def measure_live(show):
-    """Return a `Live` for fleets of real, idle daemons."""
+    """Return a `Live` for each fleet size of `_LIVE_SIZES`, measured on processes."""
     rows = []
     for entries in _LIVE_SIZES:
-        show(f"A fleet of {entries} idle daemons for {_LIVE_SECONDS:.0f} s.")
+        show(f"Measuring {entries} idle daemons for {_LIVE_SECONDS:.0f} s.")
         plan = fleet.Plan(
             folder=pathlib.Path(".run/capacity"),
             entries=entries,
@@ -120,7 +147,7 @@
 
 
 async def measure_bare_process():
-    """Return the resident memory, in MB, of the imports alone."""
+    """Return the resident memory, in MB, of a process with only the imports."""
     code = (
         "import sesamespindle.daemon.main, psutil;"
         "print(psutil.Process().memory_info().rss / 1e6)"
@@ -133,7 +160,7 @@
 
 
 def write_page(logic, memory, live, bare_mb):
-    """Put the measured tables into the page, between its markers."""
+    """Write the measured tables into the page, each between its comment markers."""
     text = PAGE.read_text("utf-8")
     tables = {
         "logic": _logic_table(logic),
@@ -221,10 +248,13 @@
 
 
 def _target_table(logic, memory, live):
-    """Work the daemon's control work at the target out from the slopes."""
+    """Return the table of a daemon's control work and state at the target size."""
     _, prompt, tick, owner, gossip = logic[-1]
     accounts_here = TARGET.accounts * ENTRIES_PER_ACCOUNT / TARGET.entries
+    # An account has a slice of each of two resources, prompts and calls.
     asks = accounts_here * 2 * RENEWALS
+    # Each daemon takes part in the rounds that it starts and in as many that its
+    # peers start. The cost of a round already includes the work of both daemons.
     gossip_bytes = GOSSIP_ROUNDS * 2 * (gossip.message_bytes + 2 * _RPC_OVERHEAD_BYTES)
     slice_bytes = 2 * asks * (owner.message_bytes + 2 * _RPC_OVERHEAD_BYTES)
     gossip_share = GOSSIP_ROUNDS * gossip.microseconds / 1e6
@@ -284,8 +314,13 @@
 
 
 def _platform_table():
-    """Work the platform's calls at the target out from the mechanisms."""
+    """Return the table of calls to the platform per second at the target size.
+
+    The rates are computed from the intervals of the mechanisms, not measured.
+    """
+    # Two watchers per data centre, each with a watch of 10 s.
     watches = TARGET.data_centres * 2 / 10
+    # Every daemon checks once in 30 to 45 s, 37 s on average.
     checks = TARGET.entries / 37
     lists = 50
     documents = CONFIG_CHANGES_PER_DAY / _DAY
@@ -303,10 +338,10 @@
 
 
 def run(show):
-    """Measure everything and write the page."""
+    """Run all measurements and write the tables of docs/CAPACITY.md."""
     logic = measure_logic(show)
     memory = measure_memory(show)
     live = asyncio.run(measure_live(show))
     bare_mb = asyncio.run(measure_bare_process())
     write_page(logic, memory, live, bare_mb)
-    show(f"The tables are in {PAGE}.")
+    show(f"Tables written to {PAGE}.")
--- a/packages/lab/sesamespindle/lab/demo.py
+++ b/packages/lab/sesamespindle/lab/demo.py
@@ -1,4 +1,9 @@
-"""A short tour: a context, its return after eviction, a booking and its repeat."""
+"""A short demonstration of context reuse and of idempotent calls.
+
+It sends a prompt with a long context, empties the engines' caches and sends the same
+context again, which must be imported from the store host. Then it makes a booking
+twice with the same idempotency key, which must run once.
+"""
 
 from sesamespindle.cli import sending
 from sesamespindle.lab import answers, fleet
@@ -11,20 +16,25 @@
 
 
 class DemoError(Exception):
-    """Something in the tour was not as it must be."""
+    """Raised when a step of the demonstration does not give the expected result."""
 
     code = "demo"
 
 
 async def run(plan, show):
-    """Run the tour on a fleet of its own.
+    """Start a fleet and run the demonstration on it.
 
     Parameters
     ----------
     plan : fleet.Plan
-        The fleet.
+        The fleet to start.
     show : callable
-        Gets each line of text.
+        Receives each line of progress.
+
+    Raises
+    ------
+    DemoError
+        If a step does not give the expected result.
     """
     async with fleet.Fleet(plan, show) as running:
         await _return_to_context(running, show)
@@ -33,8 +43,8 @@
         code, output = await running.cli("timeline", "--page", str(page))
         if code:
             raise DemoError(output)
-        show(f"The time line of all daemons is in {page}.")
-        show("Stopping everything.")
+        show(f"Timeline of all daemons written to {page}.")
+        show("Stopping all processes.")
     show("Done.")
 
 
@@ -46,7 +56,7 @@
 
 
 async def _return_to_context(running, show):
-    """Send a long context twice, with the engines' caches emptied in between."""
+    """Send a long context twice, emptying the engines' caches in between."""
     key = fleet.demo_key(_ACCOUNT)
     prompt = f"{_glossary()} How is term 17 rendered?"
     first = await _send(running, key, prompt)
@@ -58,11 +68,11 @@
     again = await _send(running, key, prompt)
     _show_prompt(show, "Same context again", again)
     if again.usage["prompt_tokens_details"]["imported_tokens"] == 0:
-        raise DemoError("The returning context was computed again.")
+        raise DemoError("No KV cache was imported for the context that was sent again.")
 
 
 async def _is_stored(running, sent):
-    """Return whether the store host has the context of an answer."""
+    """Return whether a store host has committed a segment of KV cache."""
     for name in running.names_of("store_host"):
         counts = await running.counts(name)
         if counts.get("link_bytes", 0) and counts.get("committed", 0):
@@ -77,7 +87,7 @@
     )
     rendered = f"<|user|>{prompt}<|end|><|assistant|>"
     if sent.text != answers.expected(rendered, _ANSWER_TOKENS):
-        raise DemoError("The answer is not the whole answer to its prompt.")
+        raise DemoError("The answer is not the complete answer to its prompt.")
     return sent
 
 
@@ -99,7 +109,7 @@
 
 
 async def _book_once(running, show):
-    """Make one booking, and repeat it with the same key."""
+    """Make one booking, and repeat it with the same idempotency key."""
     key = fleet.demo_key(_BOOKING_ACCOUNT)
     entry = await _entry(running, key)
     body = {"reference": "plenary-2026-12-07", "interpreters": 4}
@@ -109,10 +119,10 @@
         )
         show(
             f"{title}: entry {entry['name']}, run {answer['run']}, "
-            + ("the first run's answer." if replayed else "answered.")
+            + ("stored answer of the first run." if replayed else "answered.")
         )
     (service,) = running.names_of("service")
     runs = (await running.counts(service))["runs"][body["reference"]]
     show(f"The service ran the booking {runs} time(s).")
     if runs != 1:
-        raise DemoError("The booking did not run exactly once.")
+        raise DemoError("The service did not run the booking exactly once.")
--- a/packages/lab/sesamespindle/lab/engine.py
+++ b/packages/lab/sesamespindle/lab/engine.py
@@ -1,4 +1,8 @@
-"""A stand-in for a model engine: batching, prefix cache, streams, loads."""
+"""A stand-in for a model engine.
+
+It simulates prefill and batched decode by sleeping, a prefix cache by block ids, and
+it serves resumable streams and load reports over HTTP.
+"""
 
 import asyncio
 import collections
@@ -16,23 +20,34 @@
 from sesamespindle.lab import answers, kvlink, standin
 
 _PING_SECONDS = 0.2
+# Pieces that must be ready before the fault "shuffle_pieces" reverses them.
 _SHUFFLED_TOGETHER = 4
-# The exit status of an engine that a prompt crashes.
+# Exit status of the process when the fault "crashed_by" matches a prompt.
 _CRASH_STATUS = 70
 
 
 @dataclasses.dataclass
 class Model:
-    """How fast the engine is, and what it has room for.
+    """The speed and the capacity of the simulated engine.
 
     Attributes
     ----------
+    version : str
+        The version of the model's weights.
     prefill_rate : float
-        Prompt tokens a second.
+        Prefilled tokens per second.
     decode_interval : float
-        Seconds between the tokens of every running stream.
+        Seconds between two tokens of each running stream.
     cache_blocks : int
-        Blocks that the prefix cache holds.
+        Capacity of the prefix cache, in blocks.
+    max_running : int
+        Streams that are decoded at the same time.
+    max_waiting : int
+        Prompts that may wait for prefill; more are refused with status 503.
+    load_lag : float
+        Seconds between two updates of the load report.
+    unread_window : float
+        Seconds that a stream without a reader is kept, so that it can be resumed.
     """
 
     version: str
@@ -46,7 +61,7 @@
 
 
 class Stream:
-    """One answer as it grows; it outlives the links that read it."""
+    """An answer that is being generated; it outlives the connections that read it."""
 
     def __init__(self, request, ids):
         self.id = request["stream"]
@@ -65,12 +80,12 @@
 
     @property
     def wanted(self):
-        """Return the number of tokens still to be made."""
+        """Return the number of tokens still to be generated."""
         made = self.first - 1 + len(self.tokens)
         return self.request["max_tokens"] - made
 
     def pieces_after(self, sequence):
-        """Return the pieces past a sequence number, with the end mark if due."""
+        """Return the pieces after a sequence number, and the end mark once done."""
         pieces = [
             self._piece(self.first + index, text)
             for index, text in enumerate(self.tokens)
@@ -91,7 +106,7 @@
 
 
 class Engine:
-    """Serves streams; one task processes prompts, another makes tokens."""
+    """Serves streams; one task prefills prompts, another generates tokens."""
 
     def __init__(self, model):
         self._model = model
@@ -172,7 +187,8 @@
     async def _cancel(self, request):
         stream = self._stream_by_id.get(request.match_info["stream"])
         if stream is not None and stream.readers:
-            # It goes on: somebody reads it, or hasn't been seen to leave yet.
+            # The stream continues: a reader is connected, or its disconnection has
+            # not been noticed yet.
             return aiohttp.web.json_response({}, status=409)
         if stream is not None:
             self._drop(stream)
@@ -184,7 +200,7 @@
         self._stop(stream)
 
     def _stop(self, stream):
-        """Give the slot of a stream back, if it has one."""
+        """Free the slot of a stream, if it has one."""
         if stream in self._running:
             self._running.remove(stream)
             self._count_running(stream, -1)
@@ -244,7 +260,7 @@
         return self._faults.take("cut_after_pieces")
 
     def _struck_pieces(self, stream, after):
-        """Return the next pieces as the faults in force let them out."""
+        """Return the next pieces to send, changed by the active faults."""
         pieces = stream.pieces_after(after)
         if pieces and pieces[-1]["last"] and self._faults.take("hide_end_mark"):
             pieces.pop()
@@ -258,7 +274,7 @@
         return pieces
 
     async def _process_prompts(self):
-        """Process waiting prompts, one at a time, highest priority first."""
+        """Prefill waiting prompts, one at a time, highest priority first."""
         while True:
             while not self._waiting or len(self._running) >= self._model.max_running:
                 self._wake.clear()
@@ -298,7 +314,10 @@
         }
 
     async def _import(self, stream, reused):
-        """Fetch the blocks past those in the cache, where that is quicker."""
+        """Import the blocks that are not cached, if that is faster than prefill.
+
+        Return the number of blocks imported.
+        """
         url = stream.request["store_url"]
         missing = stream.ids[reused:]
         if not url or not missing:
@@ -321,7 +340,7 @@
             self._cache.popitem(last=False)
 
     async def _make_tokens(self):
-        """Make one token of every running stream, again and again."""
+        """Generate one token for every running stream in each decode interval."""
         while True:
             await asyncio.sleep(self._model.decode_interval)
             now = time.monotonic()
@@ -349,7 +368,7 @@
         task.add_done_callback(self._finishing.discard)
 
     async def _finish(self, stream):
-        """Export the context, and forget the stream when nobody wants it."""
+        """Export the KV cache; forget the stream after the unread window."""
         url = stream.request["store_url"]
         if url:
             await kvlink.export(self._session, url, stream.ids)
