--- a/packages/lab/sesamespindle/lab/answers.py
+++ b/packages/lab/sesamespindle/lab/answers.py
@@ -19,10 +19,10 @@
     position : int
         The token's position in the answer, counted from 1.
     """
-    raw = hashlib.blake2b(
+    token_hash = hashlib.blake2b(
         prompt_digest + position.to_bytes(4, "big"), digest_size=_DIGEST_BYTES
     )
-    return f"{raw.hexdigest()} "
+    return f"{token_hash.hexdigest()} "
 
 
 def digest(prompt):
@@ -33,4 +33,4 @@
 def expected(prompt, count):
     """Return the complete answer to a prompt, of `count` tokens."""
     prompt_digest = digest(prompt)
-    return "".join(token(prompt_digest, place) for place in range(1, count + 1))
+    return "".join(token(prompt_digest, position) for position in range(1, count + 1))
--- a/packages/lab/sesamespindle/lab/bench.py
+++ b/packages/lab/sesamespindle/lab/bench.py
@@ -7,9 +7,9 @@
 ROUTINGS = ("round_robin", "affinity", "least_load", "expected_first_token")
 _SEED = 20261207
 _PREFILL_RATE = 30_000.0
-_SPEED_BY_EXAMPLE = {"umoja": 240.0, "klantstem": 1200.0}
-_LINK_RATE_BY_EXAMPLE = {"umoja": 400_000_000.0, "klantstem": 100_000_000.0}
-_MODEL_POOL_ENGINES = {"umoja": 5, "klantstem": 9}
+_REPLAY_SPEED_BY_EXAMPLE = {"umoja": 240.0, "klantstem": 1200.0}
+_LINK_BYTES_PER_SECOND_BY_EXAMPLE = {"umoja": 400_000_000.0, "klantstem": 100_000_000.0}
+_ENGINES_BY_EXAMPLE = {"umoja": 5, "klantstem": 9}
 _FOLDER = pathlib.Path(".run")
 
 
@@ -41,25 +41,25 @@
     summaries.append(measures.floor(runs[-1], _PREFILL_RATE))
     summary_by_name = {item.name: item for item in summaries}
     outcomes = pathlib.Path("examples") / "outcomes" / f"{example}.yaml"
-    judged = []
+    checked_outcomes = []
     if set(routings) == set(ROUTINGS):
-        judged = measures.judge(outcomes, summary_by_name)
+        checked_outcomes = measures.judge(outcomes, summary_by_name)
     show(f"{example}, seed {_SEED}, {len(arrivals)} arrivals:")
     print(report.text_table(summaries))
-    for item, measured, held in judged:
+    for item, measured, held in checked_outcomes:
         print(f"{'held  ' if held else 'MISSED'} {item['name']}: {measured:.2f}")
     page = _FOLDER / f"bench-{example}.html"
-    page.write_text(report.page(example, runs, summaries, judged), "utf-8")
+    page.write_text(report.page(example, runs, summaries, checked_outcomes), "utf-8")
     show(f"The report is in {page}.")
-    return all(held for _, _, held in judged)
+    return all(held for _, _, held in checked_outcomes)
 
 
 async def _replay(example, routing, arrivals, show):
-    link_rate = _LINK_RATE_BY_EXAMPLE[example]
+    link_bytes_per_second = _LINK_BYTES_PER_SECOND_BY_EXAMPLE[example]
     plan = fleet.Plan(
         example=pathlib.Path("examples") / example,
         folder=_FOLDER / f"bench-{routing}",
-        engines=_MODEL_POOL_ENGINES[example],
+        engines=_ENGINES_BY_EXAMPLE[example],
         store_hosts=2,
         services=5,
         data_centres=3,
@@ -69,9 +69,11 @@
             "--cache-blocks",
             "1200",
         ],
-        store_options=["--link-bytes-per-second", str(link_rate)],
+        store_options=["--link-bytes-per-second", str(link_bytes_per_second)],
         settings={"policy": {"routing": routing}},
     )
     async with fleet.Fleet(plan) as running:
-        made = replay.Replay(running, arrivals, _SPEED_BY_EXAMPLE[example], link_rate)
-        return await made.run(routing, show)
+        trace_replay = replay.Replay(
+            running, arrivals, _REPLAY_SPEED_BY_EXAMPLE[example], link_bytes_per_second
+        )
+        return await trace_replay.run(routing, show)
--- a/packages/lab/sesamespindle/lab/caller.py
+++ b/packages/lab/sesamespindle/lab/caller.py
@@ -131,10 +131,10 @@
         watch : callable, optional
             Awaited with the answer so far after each event that carries text.
         """
-        resumes = streamed is not None
+        is_resumed = streamed is not None
         streamed = streamed or Streamed()
         headers = dict(self._headers)
-        if resumes:
+        if is_resumed:
             headers["Last-Event-ID"] = streamed.position
         body = {
             "model": model,
@@ -143,7 +143,7 @@
             "stream": True,
             "stream_options": {"include_usage": True},
         }
-        begun = time.monotonic()
+        sent_at = time.monotonic()
         try:
             async with self._session.post(
                 f"{url}/v1/completions", json=body, headers=headers
@@ -153,8 +153,8 @@
                     return streamed
                 streamed.target = response.headers.get("X-Sesamespindle-Target", "")
                 async for line in response.content:
-                    taken = _take_line(streamed, line.decode().rstrip(), begun)
-                    if taken and watch is not None:
+                    has_token = _apply_line(streamed, line.decode().rstrip(), sent_at)
+                    if has_token and watch is not None:
                         await watch(streamed)
         except (TimeoutError, aiohttp.ClientError):
             return streamed
@@ -174,7 +174,7 @@
     return Reply(response.status, await response.json(), dict(response.headers))
 
 
-def _take_line(streamed, line, begun):
+def _apply_line(streamed, line, sent_at):
     """Apply one line of an event stream; return whether it carried a token."""
     if line.startswith(_ID):
         streamed.position = line[len(_ID) :]
@@ -191,5 +191,5 @@
     texts = [choice["text"] for choice in value["choices"] if choice["text"]]
     streamed.tokens.extend(texts)
     if texts and not streamed.first_token_seconds:
-        streamed.first_token_seconds = time.monotonic() - begun
+        streamed.first_token_seconds = time.monotonic() - sent_at
     return bool(texts)
--- a/packages/lab/sesamespindle/lab/capacity.py
+++ b/packages/lab/sesamespindle/lab/capacity.py
@@ -99,16 +99,18 @@
     rows = []
     for size in SIZES:
         show(f"Measuring the memory of all tables: {size.accounts} accounts.")
-        held = slopes.bytes_of(lambda size=size: slopes.Bench(size))
-        rows.append((f"all tables at {size.entries} entries", size.accounts, held))
+        size_bytes = slopes.bytes_of(lambda size=size: slopes.Bench(size))
+        rows.append(
+            (f"all tables at {size.entries} entries", size.accounts, size_bytes)
+        )
     for count in (1_000, 5_000, 20_000):
         show(f"Measuring the memory of {count} contexts.")
-        held = slopes.bytes_of(lambda count=count: _fill_contexts(count))
-        rows.append(("contexts", count, held))
+        size_bytes = slopes.bytes_of(lambda count=count: _fill_contexts(count))
+        rows.append(("contexts", count, size_bytes))
     for count in (100, 1_000, 10_000):
         show(f"Measuring the memory of {count} idempotency keys.")
-        held = slopes.bytes_of(lambda count=count: _fill_keys(count))
-        rows.append(("keys with an answer of 1 KB", count, held))
+        size_bytes = slopes.bytes_of(lambda count=count: _fill_keys(count))
+        rows.append(("keys with an answer of 1 KB", count, size_bytes))
     return rows
 
 
@@ -124,18 +126,18 @@
             engines=3,
         )
         async with fleet.Fleet(plan) as running:
-            watched = [
+            daemon_processes = [
                 psutil.Process(running.process_by_name[name].pid)
                 for name in running.entry_names
             ]
             await asyncio.sleep(_SETTLE_SECONDS)
-            before = [_cpu_seconds(item) for item in watched]
+            before = [_cpu_seconds(item) for item in daemon_processes]
             await asyncio.sleep(_LIVE_SECONDS)
             used = [
                 _cpu_seconds(item) - start
-                for item, start in zip(watched, before, strict=True)
+                for item, start in zip(daemon_processes, before, strict=True)
             ]
-            resident = [item.memory_info().rss / 1e6 for item in watched]
+            resident = [item.memory_info().rss / 1e6 for item in daemon_processes]
         rows.append(
             Live(
                 entries,
@@ -228,8 +230,10 @@
 
 def _memory_table(memory):
     lines = ["| what | count | KB in all | bytes each |", "| --- | --- | --- | --- |"]
-    for what, count, held in memory:
-        lines.append(f"| {what} | {count} | {held / 1e3:.0f} | {held / count:.0f} |")
+    for what, count, size_bytes in memory:
+        lines.append(
+            f"| {what} | {count} | {size_bytes / 1e3:.0f} | {size_bytes / count:.0f} |"
+        )
     return "\n".join(lines)
 
 
@@ -286,13 +290,17 @@
         f"| deciding on prompts, {requests:.1f} a second "
         f"| {requests * prompt.microseconds / 1e6:.2%} | | not control work |"
     )
-    tables = next(held for what, _, held in memory if f"{TARGET.entries} " in what)
-    by_context = [held / count for what, count, held in memory if what == "contexts"][
-        -1
-    ]
-    by_key = [held / count for what, count, held in memory if what.startswith("keys")][
-        -1
-    ]
+    tables = next(
+        size_bytes for what, _, size_bytes in memory if f"{TARGET.entries} " in what
+    )
+    by_context = [
+        size_bytes / count for what, count, size_bytes in memory if what == "contexts"
+    ][-1]
+    by_key = [
+        size_bytes / count
+        for what, count, size_bytes in memory
+        if what.startswith("keys")
+    ][-1]
     contexts_here = CONTEXTS * ENTRIES_PER_ACCOUNT / TARGET.entries
     keys = _KEYS_PER_DAEMON_HOUR * _KEY_HOURS
     state = (tables + by_context * contexts_here + by_key * keys) / 1e6
--- a/packages/lab/sesamespindle/lab/demo.py
+++ b/packages/lab/sesamespindle/lab/demo.py
@@ -60,13 +60,13 @@
     key = fleet.demo_key(_ACCOUNT)
     prompt = f"{_glossary()} How is term 17 rendered?"
     first = await _send(running, key, prompt)
-    _show_prompt(show, "First prompt", first)
+    _show_answer(show, "First prompt", first)
     await running.until(lambda: _is_stored(running, first))
     for name in running.names_of("engine"):
         await running.post(name, "/evict", {})
     show("The engines' caches have been emptied.")
     again = await _send(running, key, prompt)
-    _show_prompt(show, "Same context again", again)
+    _show_answer(show, "Same context again", again)
     if again.usage["prompt_tokens_details"]["imported_tokens"] == 0:
         raise DemoError("No KV cache was imported for the context that was sent again.")
 
@@ -81,7 +81,7 @@
 
 
 async def _send(running, key, prompt):
-    entry = await _entry(running, key)
+    entry = await _choose_entry(running, key)
     sent = await sending.send_prompt(
         running.session, entry, key, _MODEL, prompt, _ANSWER_TOKENS
     )
@@ -91,12 +91,12 @@
     return sent
 
 
-async def _entry(running, key):
+async def _choose_entry(running, key):
     urls = [running.url(name) for name in running.entry_names]
     return await sending.choose_entry(running.session, urls, key)
 
 
-def _show_prompt(show, title, sent):
+def _show_answer(show, title, sent):
     details = sent.usage["prompt_tokens_details"]
     reused = details["cached_tokens"]
     computed = sent.usage["prompt_tokens"] - reused
@@ -111,7 +111,7 @@
 async def _book_once(running, show):
     """Make one booking, and repeat it with the same idempotency key."""
     key = fleet.demo_key(_BOOKING_ACCOUNT)
-    entry = await _entry(running, key)
+    entry = await _choose_entry(running, key)
     body = {"reference": "plenary-2026-12-07", "interpreters": 4}
     for title in ("Booking", "Same booking again"):
         answer, replayed = await sending.send_call(
--- a/packages/lab/sesamespindle/lab/engine.py
+++ b/packages/lab/sesamespindle/lab/engine.py
@@ -19,11 +19,11 @@
 from sesamespindle.decide import hashing
 from sesamespindle.lab import answers, kvlink, standin
 
-_PING_SECONDS = 0.2
+_PING_INTERVAL_SECONDS = 0.2
 # Pieces that must be ready before the fault "shuffle_pieces" reverses them.
-_SHUFFLED_TOGETHER = 4
+_SHUFFLED_PIECES = 4
 # Exit status of the process when the fault "crashed_by" matches a prompt.
-_CRASH_STATUS = 70
+_CRASH_EXIT_STATUS = 70
 
 
 @dataclasses.dataclass
@@ -71,7 +71,7 @@
         self.first = request["continued_tokens"] + 1
         self.tokens = []
         self.sent = 0
-        self.started = None
+        self.start_event = None
         self.done = False
         self.cancelled = False
         self.readers = 0
@@ -79,10 +79,10 @@
         self.changed = asyncio.Condition()
 
     @property
-    def wanted(self):
+    def remaining_tokens(self):
         """Return the number of tokens still to be generated."""
-        made = self.first - 1 + len(self.tokens)
-        return self.request["max_tokens"] - made
+        generated = self.first - 1 + len(self.tokens)
+        return self.request["max_tokens"] - generated
 
     def pieces_after(self, sequence):
         """Return the pieces after a sequence number, and the end mark once done."""
@@ -112,15 +112,15 @@
         self._model = model
         self._stream_by_id = {}
         self._waiting = []
-        self._order = itertools.count()
-        self._wake = asyncio.Event()
+        self._arrival_numbers = itertools.count()
+        self._prefill_may_continue = asyncio.Event()
         self._running = []
         self._cache = collections.OrderedDict()
         self._counts = collections.Counter()
         self._running_by_account = collections.Counter()
         self._most_by_account = collections.Counter()
         self._load = {}
-        self._finishing = set()
+        self._export_tasks = set()
         self._session = None
         self._faults = standin.Faults(
             refuse=False,
@@ -152,7 +152,7 @@
 
     async def _run_tasks(self, application):
         self._session = aiohttp.ClientSession()
-        loops = (self._process_prompts, self._make_tokens, self._report_load)
+        loops = (self._prefill_prompts, self._generate_tokens, self._update_load)
         tasks = [asyncio.create_task(loop()) for loop in loops]
         yield
         for task in tasks:
@@ -165,7 +165,7 @@
         self._counts["received"] += 1
         crashed_by = self._faults["crashed_by"]
         if crashed_by and crashed_by in body["prompt"]:
-            os._exit(_CRASH_STATUS)
+            os._exit(_CRASH_EXIT_STATUS)
         wrong_version = body["version"] != self._model.version
         full = len(self._waiting) >= self._model.max_waiting
         if self._faults["refuse"] or wrong_version or full:
@@ -174,15 +174,17 @@
         ids = hashing.chain(bytes.fromhex(body["salt"]), body["prompt"])
         stream = Stream(body, ids)
         self._stream_by_id[stream.id] = stream
-        heapq.heappush(self._waiting, (-body["priority"], next(self._order), stream))
-        self._wake.set()
-        return await self._send(request, stream, stream.first - 1)
+        heapq.heappush(
+            self._waiting, (-body["priority"], next(self._arrival_numbers), stream)
+        )
+        self._prefill_may_continue.set()
+        return await self._send_stream(request, stream, stream.first - 1)
 
     async def _resume(self, request):
         stream = self._stream_by_id.get(request.match_info["stream"])
         if stream is None or stream.cancelled:
             raise aiohttp.web.HTTPNotFound
-        return await self._send(request, stream, int(request.query["after"]))
+        return await self._send_stream(request, stream, int(request.query["after"]))
 
     async def _cancel(self, request):
         stream = self._stream_by_id.get(request.match_info["stream"])
@@ -191,22 +193,22 @@
             # not been noticed yet.
             return aiohttp.web.json_response({}, status=409)
         if stream is not None:
-            self._drop(stream)
+            self._discard(stream)
         return aiohttp.web.json_response({})
 
-    def _drop(self, stream):
+    def _discard(self, stream):
         stream.cancelled = True
         self._stream_by_id.pop(stream.id, None)
-        self._stop(stream)
+        self._free_slot(stream)
 
-    def _stop(self, stream):
+    def _free_slot(self, stream):
         """Free the slot of a stream, if it has one."""
         if stream in self._running:
             self._running.remove(stream)
             self._count_running(stream, -1)
-            self._wake.set()
+            self._prefill_may_continue.set()
 
-    async def _send(self, request, stream, after):
+    async def _send_stream(self, request, stream, after):
         response = aiohttp.web.StreamResponse(
             headers={"Content-Type": "text/event-stream"}
         )
@@ -220,52 +222,52 @@
         return response
 
     async def _send_pieces(self, request, response, stream, after):
-        told_start = False
+        start_was_sent = False
         while not stream.cancelled:
-            await self._wait_for_change(response, stream, after, told_start)
-            if stream.started is not None and not told_start:
-                told_start = True
-                await _write(response, stream.started)
-            pieces = self._struck_pieces(stream, after)
+            await self._wait_for_change(response, stream, after, start_was_sent)
+            if stream.start_event is not None and not start_was_sent:
+                start_was_sent = True
+                await _write_event(response, stream.start_event)
+            pieces = self._pieces_with_faults(stream, after)
             if not pieces:
                 await asyncio.sleep(self._model.decode_interval)
             for piece in pieces:
-                if self._faults["cut_after_pieces"] and self._is_cut(piece):
+                if self._faults["cut_after_pieces"] and self._cut_is_due(piece):
                     await standin.until_cut(request.transport)
                     return
-                await _write(response, piece)
+                await _write_event(response, piece)
                 after = max(after, piece["sequence"])
                 if piece["last"]:
                     return
                 stream.sent = max(stream.sent, after)
 
-    async def _wait_for_change(self, response, stream, after, told_start):
-        def has_news():
-            if stream.cancelled or (stream.started and not told_start):
+    async def _wait_for_change(self, response, stream, after, start_was_sent):
+        def has_changed():
+            if stream.cancelled or (stream.start_event and not start_was_sent):
                 return True
-            made = stream.first - 1 + len(stream.tokens)
-            return stream.started is not None and (made > after or stream.done)
+            generated = stream.first - 1 + len(stream.tokens)
+            return stream.start_event is not None and (generated > after or stream.done)
 
         while True:
             try:
-                async with asyncio.timeout(_PING_SECONDS), stream.changed:
-                    await stream.changed.wait_for(has_news)
+                async with asyncio.timeout(_PING_INTERVAL_SECONDS), stream.changed:
+                    await stream.changed.wait_for(has_changed)
                 return
             except TimeoutError:
                 await response.write(b": ping\n\n")
 
-    def _is_cut(self, piece):
+    def _cut_is_due(self, piece):
         if piece["sequence"] < self._faults["cut_after_pieces"]:
             return False
         return self._faults.take("cut_after_pieces")
 
-    def _struck_pieces(self, stream, after):
+    def _pieces_with_faults(self, stream, after):
         """Return the next pieces to send, changed by the active faults."""
         pieces = stream.pieces_after(after)
         if pieces and pieces[-1]["last"] and self._faults.take("hide_end_mark"):
             pieces.pop()
         if self._faults["shuffle_pieces"]:
-            if len(pieces) < _SHUFFLED_TOGETHER and not stream.done:
+            if len(pieces) < _SHUFFLED_PIECES and not stream.done:
                 return []
             tokens = [piece for piece in pieces if not piece["last"]]
             pieces = tokens[::-1] + [piece for piece in pieces if piece["last"]]
@@ -273,19 +275,19 @@
             pieces = [piece for piece in pieces for _ in range(2)]
         return pieces
 
-    async def _process_prompts(self):
+    async def _prefill_prompts(self):
         """Prefill waiting prompts, one at a time, highest priority first."""
         while True:
             while not self._waiting or len(self._running) >= self._model.max_running:
-                self._wake.clear()
-                await self._wake.wait()
+                self._prefill_may_continue.clear()
+                await self._prefill_may_continue.wait()
             _, _, stream = heapq.heappop(self._waiting)
             if stream.cancelled:
                 continue
             await self._faults.held("hold_prompts")
             if self._faults["delay"]:
                 await asyncio.sleep(self._faults["delay"])
-            stream.started = await self._prefill(stream)
+            stream.start_event = await self._prefill(stream)
             if stream.cancelled:
                 continue
             self._running.append(stream)
@@ -298,11 +300,11 @@
         imported = await self._import(stream, reused)
         prompt_tokens = hashing.token_count(stream.request["prompt"])
         prompt_tokens += stream.request["continued_tokens"]
-        ready = (reused + imported) * hashing.BLOCK_TOKENS
-        computed = max(0, prompt_tokens - ready)
+        available_tokens = (reused + imported) * hashing.BLOCK_TOKENS
+        computed = max(0, prompt_tokens - available_tokens)
         await asyncio.sleep(computed / self._model.prefill_rate)
         for block_id in stream.ids:
-            self._keep(block_id)
+            self._cache_block(block_id)
         self._counts["computed_tokens"] += computed
         self._counts["reused_tokens"] += reused * hashing.BLOCK_TOKENS
         self._counts["imported_tokens"] += imported * hashing.BLOCK_TOKENS
@@ -333,41 +335,41 @@
             count += 1
         return count
 
-    def _keep(self, block_id):
+    def _cache_block(self, block_id):
         self._cache[block_id] = True
         self._cache.move_to_end(block_id)
         while len(self._cache) > self._model.cache_blocks:
             self._cache.popitem(last=False)
 
-    async def _make_tokens(self):
+    async def _generate_tokens(self):
         """Generate one token for every running stream in each decode interval."""
         while True:
             await asyncio.sleep(self._model.decode_interval)
             now = time.monotonic()
             for stream in list(self._running):
-                await self._make_token(stream, now)
-
-    async def _make_token(self, stream, now):
-        unread = not stream.readers and now - stream.unread_since
-        if unread and unread > self._model.unread_window:
-            self._drop(stream)
-        if not stream.cancelled and stream.wanted > 0:
-            place = stream.first + len(stream.tokens)
+                await self._generate_token(stream, now)
+
+    async def _generate_token(self, stream, now):
+        unread_seconds = not stream.readers and now - stream.unread_since
+        if unread_seconds and unread_seconds > self._model.unread_window:
+            self._discard(stream)
+        if not stream.cancelled and stream.remaining_tokens > 0:
+            position = stream.first + len(stream.tokens)
             self._counts["made_tokens"] += 1
-            stream.tokens.append(answers.token(stream.digest, place))
-        stream.done = stream.wanted <= 0
+            stream.tokens.append(answers.token(stream.digest, position))
+        stream.done = stream.remaining_tokens <= 0
         if stream.done and not stream.cancelled:
-            self._stop(stream)
-            self._spawn(self._finish(stream))
+            self._free_slot(stream)
+            self._start_task(self._export_and_forget(stream))
         async with stream.changed:
             stream.changed.notify_all()
 
-    def _spawn(self, coroutine):
+    def _start_task(self, coroutine):
         task = asyncio.create_task(coroutine)
-        self._finishing.add(task)
-        task.add_done_callback(self._finishing.discard)
+        self._export_tasks.add(task)
+        task.add_done_callback(self._export_tasks.discard)
 
-    async def _finish(self, stream):
+    async def _export_and_forget(self, stream):
         """Export the KV cache; forget the stream after the unread window."""
         url = stream.request["store_url"]
         if url:
@@ -381,7 +383,7 @@
         running = self._running_by_account[account]
         self._most_by_account[account] = max(self._most_by_account[account], running)
 
-    async def _report_load(self):
+    async def _update_load(self):
         while True:
             if not self._faults["load_frozen"]:
                 tokens = sum(
@@ -426,5 +428,5 @@
         )
 
 
-async def _write(response, value):
+async def _write_event(response, value):
     await response.write(f"data: {json.dumps(value)}\n\n".encode())
