--- a/packages/lab/sesamespindle/lab/fleet.py
+++ b/packages/lab/sesamespindle/lab/fleet.py
@@ -1,4 +1,8 @@
-"""A small fleet of real processes: stand-ins, daemons, and what is declared."""
+"""A launcher for a small fleet of real processes on one machine.
+
+It starts the stand-ins for the platform and the targets, applies the declarations of
+an example, starts the daemons, and ends all these processes again.
+"""
 
 import asyncio
 import contextlib
@@ -25,27 +29,36 @@
 
 
 class FleetError(Exception):
-    """The fleet could not be made ready."""
+    """Raised when the declarations of the example could not be applied."""
 
     code = "fleet"
 
 
 @dataclasses.dataclass
 class Plan:
-    """What a fleet is made of.
+    """The processes and options of a fleet.
 
     Attributes
     ----------
-    entries, engines : int
-        How many of each; engines are taken from the example's targets.
+    example : pathlib.Path
+        The folder with the declarations to apply.
+    folder : pathlib.Path
+        The folder for settings and logs. It is deleted before the fleet starts.
+    entries : int
+        The number of daemons.
+    engines, store_hosts, services : int
+        The number of targets of each kind to start, taken from the declared targets
+        of the example.
     data_centres : int
-        Over how many of the example's data centres the entries are spread.
+        The number of data centres of the example that the daemons are spread over.
     engine_options, store_options, platform_options : list of str
-        Further arguments of the stand-ins.
+        Additional command line arguments of the stand-ins.
     proxied : frozenset of str
-        Targets that are reached only through a fault proxy.
+        Names of the targets that daemons reach only through a fault proxy.
+    proxy_platform : bool
+        Whether daemons reach the platform only through a fault proxy.
     settings : dict
-        What the daemons' settings say beyond the defaults.
+        Settings of all daemons that differ from the defaults.
     """
 
     example: pathlib.Path = pathlib.Path("examples/umoja")
@@ -64,19 +77,21 @@
 
 
 def demo_key(account):
-    """Return the key of an account of the examples."""
+    """Return the API key of an account of the examples."""
     return f"sk-demo-{account}"
 
 
 class Fleet:
-    """A running fleet; ends every process it started when it is left.
+    """A running fleet, as an asynchronous context manager.
+
+    Every process that it started is ended when the context is left.
 
     Parameters
     ----------
     plan : Plan
-        What to start.
+        The processes and options of the fleet.
     progress : callable
-        Gets a line of text for each step.
+        Receives a line of text for each step.
     """
 
     def __init__(self, plan, progress=lambda line: None):
@@ -118,20 +133,20 @@
 
     @property
     def entry_names(self):
-        """Return the names of the daemons, in the order they were started."""
+        """Return the names of the daemons, in the order in which they started."""
         return [name for name, role in self.role_by_name.items() if role == "daemon"]
 
     def names_of(self, role):
-        """Return the names of the processes of a role."""
+        """Return the names of the processes that have a role."""
         return [name for name, held in self.role_by_name.items() if held == role]
 
     def url(self, name):
-        """Return where a process listens itself, not its proxy."""
+        """Return the URL of a process itself, not of a proxy in front of it."""
         return self.process_by_name[name].url
 
     @property
     def environment(self):
-        """Return what the operators' command line needs."""
+        """Return the environment variables that the operators' command line reads."""
         return {
             "SESAMESPINDLE_PLATFORM": self.platform_url,
             "SESAMESPINDLE_ADMIN_KEY": ADMIN_KEY,
@@ -139,35 +154,35 @@
 
     @property
     def platform_url(self):
-        """Return where the platform's API is, past no proxy."""
+        """Return the URL of the platform's API itself, not of a proxy."""
         return self.platform.url
 
     async def fault(self, name, **faults):
-        """Switch faults of a stand-in."""
+        """Set faults of a stand-in, by name and value."""
         await self._post(f"{self.url(name)}/faults", faults)
 
     async def proxy_fault(self, name, **faults):
-        """Switch faults of the proxy before a process."""
+        """Set faults of the proxy in front of a process, by name and value."""
         await self._post(f"{self.proxy_by_name[name].url}/faults", faults)
 
     async def post(self, name, path, value):
-        """Post to a stand-in and return its answer."""
+        """Send a POST with a JSON value to a stand-in; return its decoded answer."""
         return await self._post(f"{self.url(name)}{path}", value)
 
     async def counts(self, name):
-        """Return what a stand-in has counted."""
+        """Return the counters of a stand-in."""
         async with self.session.get(f"{self.url(name)}/counts") as response:
             return await response.json()
 
     async def status(self, name):
-        """Return a daemon's status."""
+        """Return the status that a daemon reports on its admin API."""
         return await self._ask_operators_door(name, "/status")
 
     async def timeline(self, name):
-        """Return the events of an entry's time line, asked of it directly.
+        """Return the events of an entry's timeline, read from its admin API.
 
-        The command line takes seconds to start on a busy machine, longer than an
-        entry's resumes of a stream.
+        Tests use this rather than the command line, which takes seconds to start on a
+        busy machine; by then an entry may have finished resuming a stream.
         """
         told = await self._ask_operators_door(name, "/timeline")
         return told["events"]
@@ -179,7 +194,7 @@
             return await response.json()
 
     async def cli(self, *arguments, environment=None):
-        """Run the operators' command line; return its exit code and output."""
+        """Run the operators' command line; return its exit code and its output."""
         child = await asyncio.create_subprocess_exec(
             processes.sys.executable,
             "-m",
@@ -193,7 +208,10 @@
         return child.returncode, output.decode()
 
     async def start_entry(self, name, data_centre, **changed):
-        """Start a daemon, and have the platform list it."""
+        """Start a daemon and add it to the platform's host list.
+
+        Keyword arguments override the settings of the plan for this daemon.
+        """
         path = self.plan.folder / f"{name}.yaml"
         values = {
             "name": name,
@@ -215,13 +233,27 @@
         return process
 
     async def restart_target(self, name):
-        """Start a stand-in that was killed anew, at a new address."""
+        """Start a stand-in that was killed again, at a new address."""
         role = self.role_by_name[name]
         data_centre = self._data_centre_by_name[name]
         await self._start_target(name, role, data_centre)
 
     async def wait_ready(self, names=None):
-        """Wait until daemons are ready and see all live targets and each other."""
+        """Wait until daemons are ready.
+
+        A daemon is ready if it says so, if it can use all targets at their current
+        addresses, and if it considers all named daemons live.
+
+        Parameters
+        ----------
+        names : list of str, optional
+            The daemons to wait for; all by default.
+
+        Raises
+        ------
+        TimeoutError
+            If they are not ready within 60 s.
+        """
         names = names or self.entry_names
         targets = {
             name
@@ -234,13 +266,19 @@
                     await asyncio.sleep(_POLL_SECONDS)
 
     async def until(self, condition):
-        """Wait until an asynchronous condition holds, or fail after a minute."""
+        """Wait until an asynchronous condition returns true.
+
+        Raises
+        ------
+        TimeoutError
+            If it does not do so within 60 s.
+        """
         async with asyncio.timeout(_READY_SECONDS):
             while not await condition():
                 await asyncio.sleep(_POLL_SECONDS)
 
     def describe(self):
-        """Return the fleet as the values of its JSON file."""
+        """Return the content of the fleet's JSON file."""
         described = [
             {
                 "role": self.role_by_name[name],
@@ -272,7 +310,7 @@
         }
 
     def write_description(self):
-        """Write the fleet's JSON file, all at once."""
+        """Write the fleet's JSON file atomically; return its path."""
         path = self.plan.folder / "fleet.json"
         draft = path.with_suffix(".draft")
         draft.write_text(json.dumps(self.describe(), indent=2), "utf-8")
@@ -289,12 +327,14 @@
         if plan.proxy_platform:
             self.proxy_by_name["platform"] = await self._start_proxy(self.platform)
         await self._start_targets()
-        self._progress(f"Applying {plan.example}.")
+        self._progress(f"Applying the declarations in {plan.example}.")
         code, output = await self.cli("apply", str(plan.example))
         if code:
             raise FleetError(output)
         used = data_centres[: plan.data_centres]
-        self._progress(f"Starting {plan.entries} daemons in {', '.join(used)}.")
+        self._progress(
+            f"Starting {plan.entries} daemons in data centres {', '.join(used)}."
+        )
         await asyncio.gather(
             *(
                 self.start_entry(f"entry-{number + 1}", used[number % len(used)])
@@ -302,7 +342,7 @@
             )
         )
         await self.wait_ready()
-        self._progress("All are ready.")
+        self._progress("All daemons are ready.")
 
     async def _start_targets(self):
         plan = self.plan
@@ -321,7 +361,7 @@
         await asyncio.gather(*(self._start_target(*item) for item in chosen))
 
     def _targets_of(self, kind):
-        """Return the declared targets of a kind, one pool after the other."""
+        """Return the declared targets of a kind, in the order of the declarations."""
         kind_by_pool = {
             entity.model.name: entity.model.targets
             for entity in self._entities.values()
@@ -388,7 +428,8 @@
             if response.status != 200:
                 return False
         status = await self.status(name)
-        # By address too: a target that was restarted is not ready at its old one.
+        # Compare addresses too: after a restart a target listens at a new address, and
+        # the daemon may still know the old one.
         usable = {
             item["name"]
             for item in status["targets"]
@@ -419,7 +460,7 @@
         ]
 
     async def _end_all(self):
-        """End daemons first, so that they need not do without their targets."""
+        """End the daemons before the others, so that they do not see targets fail."""
         daemons = [self.process_by_name[name] for name in self.entry_names]
         others = [
             process
--- a/packages/lab/sesamespindle/lab/guards.py
+++ b/packages/lab/sesamespindle/lab/guards.py
@@ -1,4 +1,9 @@
-"""Checking that each failure test fails once its guard is taken out."""
+"""Check that each guard has a test that fails without it.
+
+A guard is a piece of code that prevents a certain failure. ``guards.yaml`` lists the
+guards. For each one, the code is removed from a copy of the packages and the guard's
+test is run on the copy; the test must fail.
+"""
 
 import asyncio
 import dataclasses
@@ -19,7 +24,23 @@
 
 @dataclasses.dataclass(frozen=True)
 class Guard:
-    """A guard of the product, and the test that needs it."""
+    """A guard, how to remove it, and the test that must fail without it.
+
+    Attributes
+    ----------
+    name : str
+        A description of the guard.
+    file : str
+        The file that contains the guard, relative to the folder of the packages.
+    guard : str
+        The source text of the guard, which must occur exactly once in the file.
+    without : str
+        The text that replaces it.
+    test : str
+        Arguments of pytest that select the test.
+    also : dict
+        Further texts to replace in the same file, with their replacements.
+    """
 
     name: str
     file: str
@@ -30,22 +51,35 @@
 
 
 class GuardError(Exception):
-    """A guard that is listed does not stand in its file."""
+    """Raised when a guard cannot be checked.
+
+    Its text does not occur exactly once in its file, or its test could not be run.
+    """
 
     code = "guard"
 
 
 def read():
-    """Return the guards that are listed."""
+    """Return the guards listed in ``guards.yaml``."""
     items = yaml.safe_load(_LIST.read_text("utf-8"))
     return [Guard(**item) for item in items]
 
 
 async def check(guard):
-    """Run a guard's test on a copy without it; return whether the test failed.
+    """Run a guard's test on a copy of the packages without the guard.
+
+    PYTHONPATH puts the copy before the installed packages, for the test and for all
+    processes that it starts.
 
-    The copy goes before the installed packages on the path of the test and of
-    all processes that it starts.
+    Returns
+    -------
+    bool
+        Whether the test failed, as it must.
+
+    Raises
+    ------
+    GuardError
+        If the guard is not in its file exactly once, or the test did not run.
     """
     with tempfile.TemporaryDirectory() as folder:
         copies = []
@@ -58,8 +92,8 @@
             sys.executable,
             "-m",
             "pytest",
-            # In one process: spread over several, a first failure that stops the
-            # run is reported as an interruption.
+            # Run the tests in one process. With several workers, pytest reports a run
+            # that -x stops as interrupted, not as failed.
             "-n",
             "0",
             "-x",
@@ -72,7 +106,9 @@
         )
         output, _ = await child.communicate()
     if child.returncode not in (0, _TEST_FAILED):
-        raise GuardError(f"{guard.name}: the test did not run.\n{output.decode()}")
+        raise GuardError(
+            f"{guard.name}: pytest did not run the test.\n{output.decode()}"
+        )
     return child.returncode == _TEST_FAILED
 
 
@@ -81,19 +117,27 @@
     text = path.read_text("utf-8")
     for standing, instead in {guard.guard: guard.without, **guard.also}.items():
         if text.count(standing) != 1:
-            raise GuardError(f"{guard.name}: stands {text.count(standing)} times.")
+            raise GuardError(
+                f"{guard.name}: text found {text.count(standing)} times, not once."
+            )
         text = text.replace(standing, instead)
     path.write_text(text, "utf-8")
 
 
 async def run(show, wanted=""):
-    """Check all guards and return the names of those whose test still passed."""
+    """Check the guards whose name contains `wanted`.
+
+    Return the names of those whose test passed without them.
+    """
     missed = []
     for guard in read():
         if wanted not in guard.name:
             continue
         failed = await check(guard)
-        show(f"{'fails without' if failed else 'PASSES WITHOUT'}: {guard.name}.")
+        show(
+            f"{'test fails without' if failed else 'TEST PASSES WITHOUT'}: "
+            f"{guard.name}."
+        )
         if not failed:
             missed.append(guard.name)
     return missed
--- a/packages/lab/sesamespindle/lab/kvlink.py
+++ b/packages/lab/sesamespindle/lab/kvlink.py
@@ -1,4 +1,4 @@
-"""The stand-in engine's side of export and import of KV cache."""
+"""Export and import of KV cache between the stand-in engine and a store host."""
 
 import hashlib
 
@@ -8,12 +8,16 @@
 
 
 def payload(block_id):
-    """Return the bytes that stand for a block's KV cache."""
+    """Return the bytes that represent the KV cache of a block."""
     return hashlib.blake2b(block_id.encode(), digest_size=_PAYLOAD_BYTES).digest()
 
 
 async def export(session, url, ids):
-    """Write the blocks that the store host lacks; the commit comes last."""
+    """Write the blocks that the store host lacks as one segment, then commit it.
+
+    The commit comes last, so that nobody reads a segment that is only partly written.
+    Errors end the export without an exception.
+    """
     try:
         found = await _post(session, f"{url}/lookup", {"ids": ids})
         missing = list(ids[found["blocks"] :])
@@ -31,10 +35,24 @@
 
 
 async def fetch(session, url, ids, reused, compute_blocks_per_second):
-    """Return how many blocks past the cached ones were fetched.
-
-    Nothing is fetched where computing is quicker than the link. Data that does
-    not match its manifest is not used.
+    """Fetch the blocks that follow the cached ones from a store host.
+
+    Nothing is fetched if prefill is expected to be faster than the link. Data that
+    does not match its length or checksum is not used.
+
+    Parameters
+    ----------
+    ids : sequence of str
+        The block ids of the whole prompt.
+    reused : int
+        The number of blocks that are already cached.
+    compute_blocks_per_second : float
+        The engine's prefill rate.
+
+    Returns
+    -------
+    int
+        The number of blocks fetched past the cached ones; 0 after an error.
     """
     try:
         found = await _post(session, f"{url}/lookup", {"ids": ids})
@@ -64,7 +82,7 @@
         data = await answer.read()
     whole = len(data) == segment["length"]
     if not whole or hashlib.sha256(data).hexdigest() != segment["checksum"]:
-        raise ValueError("The data does not match its manifest.")
+        raise ValueError("The segment's data does not match its length or checksum.")
     return len(segment["ids"])
 
 
--- a/packages/lab/sesamespindle/lab/main.py
+++ b/packages/lab/sesamespindle/lab/main.py
@@ -1,4 +1,4 @@
-"""The command line of the lab: demo, fleet, bench, and single stand-ins."""
+"""The command line of the lab: demo, fleet, benchmarks and single stand-ins."""
 
 import asyncio
 import os
@@ -25,7 +25,7 @@
     traces,
 )
 
-app = cyclopts.App(name="lab", help="Stand-ins, fleets and measurements.")
+app = cyclopts.App(name="lab", help="Run stand-ins, fleets and measurements.")
 standins = cyclopts.App(name="standin", help="Run one stand-in.")
 app.command(standins)
 _EXIT_FAILED = 1
@@ -33,7 +33,7 @@
 
 @app.command(name="demo")
 def run_demo():
-    """Run the tour of `make demo`."""
+    """Run a short demonstration on a fleet of its own."""
     show = _progress()
     try:
         uvloop.run(demo.run(fleet.Plan(), show))
@@ -46,7 +46,8 @@
 def run_fleet():
     """Run a fleet in the foreground until it is interrupted.
 
-    FLEET_ENTRIES, FLEET_ENGINES and FLEET_EXAMPLE change its size and example.
+    The environment variables FLEET_ENTRIES and FLEET_ENGINES set the number of
+    daemons and engines, FLEET_EXAMPLE the example to run.
     """
     example = pathlib.Path("examples") / os.environ.get("FLEET_EXAMPLE", "umoja")
     plan = fleet.Plan(
@@ -60,25 +61,25 @@
         stop_asked = _stop_asked()
         async with fleet.Fleet(plan, show) as running:
             path = running.write_description()
-            show(f"The processes are listed in {path}. Interrupt to stop.")
+            show(f"The processes are listed in {path}. Press Ctrl+C to stop them.")
             for name, value in running.environment.items():
                 show(f"export {name}={value}")
             await stop_asked.wait()
-            show("Stopping everything.")
+            show("Stopping all processes.")
 
     uvloop.run(run())
 
 
 @app.command(name="bench")
 def run_bench(*examples: str, routing: str = ""):
-    """Replay the examples' traces side by side under several ways of routing.
+    """Replay the examples' traces under several routing policies and compare them.
 
     Parameters
     ----------
     examples
-        ``umoja``, ``klantstem``; both by default.
+        ``umoja`` or ``klantstem``; both by default.
     routing
-        Only this way of routing, without judging.
+        Replay under this policy only, without checking the stated outcomes.
     """
     routings = (routing,) if routing else bench.ROUTINGS
     held = [
@@ -86,17 +87,17 @@
         for example in examples or traces.SHAPE_BY_NAME
     ]
     if not all(held):
-        print("Some stated outcomes were missed.")
+        print("Some stated outcomes were not met.")
 
 
 @app.command(name="guards")
 def run_guards(wanted: str = ""):
-    """Take out each guard in turn and check that its test then fails.
+    """Remove each guard in turn and check that its test fails without it.
 
     Parameters
     ----------
     wanted
-        Only the guards with this in their name.
+        Check only the guards whose name contains this text.
     """
     if uvloop.run(guards.run(_progress(), wanted)):
         sys.exit(_EXIT_FAILED)
@@ -104,7 +105,7 @@
 
 @app.command(name="capacity")
 def run_capacity():
-    """Measure slopes and write the tables of docs/CAPACITY.md."""
+    """Measure costs at growing sizes and write the tables of docs/CAPACITY.md."""
     capacity.run(_progress())
 
 
@@ -115,7 +116,7 @@
     writes_per_second: int = 500,
     host_lag: float = 0.3,
 ):
-    """Run the platform's stand-in."""
+    """Run a stand-in for the platform."""
     made = platform.Platform(reads_per_second, writes_per_second, host_lag)
     _serve(made.application(), port)
 
@@ -130,7 +131,7 @@
     max_running: int = 256,
     unread_window: float = 5.0,
 ):
-    """Run an engine's stand-in."""
+    """Run a stand-in for a model engine."""
     model = engine.Model(
         version,
         prefill_rate,
@@ -153,7 +154,7 @@
     block_bytes: int = 65_536,
     link_bytes_per_second: float = 500_000_000.0,
 ):
-    """Run a store host's stand-in."""
+    """Run a stand-in for a store host."""
 
     async def run():
         made = store_host.StoreHost(capacity_blocks, block_bytes, link_bytes_per_second)
@@ -164,7 +165,7 @@
 
 @standins.command(name="service")
 def run_service(port: int = 0):
-    """Run a plain service's stand-in."""
+    """Run a stand-in for a plain service."""
 
     async def run():
         await standin.serve(service.Service().application(), port, _stop_asked())
@@ -174,7 +175,7 @@
 
 @app.command(name="proxy")
 def run_proxy(target: str):
-    """Run a fault-injecting proxy before an address, as HOST:PORT."""
+    """Run a fault-injecting proxy in front of an address, given as HOST:PORT."""
     host, port = target.split(":")
 
     async def run():
--- a/packages/lab/sesamespindle/lab/measures.py
+++ b/packages/lab/sesamespindle/lab/measures.py
@@ -1,10 +1,11 @@
-"""Working the measures out of a replay, and judging them."""
+"""Measures of a replay, and checks of them against stated outcomes."""
 
 import dataclasses
 
 import hdrh.histogram
 import yaml
 
+# Range and precision of the histograms of times.
 _HIGHEST_MS = 600_000
 _DIGITS = 3
 
@@ -15,10 +16,29 @@
 
     Attributes
     ----------
+    name : str
+        The routing policy, the account, or ``floor``.
+    prompts, answered : int
+        Prompts sent, and those that got a complete answer.
+    refused_tries : int
+        Attempts beyond the first of each prompt.
+    p50_ms, p95_ms, p99_ms : float
+        Percentiles of the time to first token of answered prompts, in ms.
     share_computed : float
-        Prompt tokens computed, of all prompt tokens.
+        Prefilled tokens as a share of all prompt tokens, over answered prompts.
     never_seen, evicted, moved : float
-        The same, split by why they were computed.
+        The parts of `share_computed` by cause: tokens that no earlier prompt of the
+        context had; tokens evicted from the cache; tokens of a context that was sent
+        to another engine than before.
+    link_peak : float
+        The highest share of a store host's link in use in one sample.
+    seconds_over_90 : float
+        The longest time without interruption, in seconds, that a store host's link
+        was in use by more than 90%.
+    calls_p95_ms : float
+        The 95th percentile of the duration of calls, in ms; 0 without calls.
+    requests_ratio : float
+        Requests that the engines received per prompt.
     """
 
     name: str
@@ -39,7 +59,7 @@
 
 
 def histogram(seconds):
-    """Return an HDR histogram of times, in milliseconds."""
+    """Return an HDR histogram, in milliseconds, of times in seconds."""
     made = hdrh.histogram.HdrHistogram(1, _HIGHEST_MS, _DIGITS)
     for value in seconds:
         made.record_value(max(1, min(_HIGHEST_MS, round(value * 1000))))
@@ -78,7 +98,10 @@
 
 
 def floor(run, prefill_rate):
-    """Return the `Summary` that the trace alone allows: nothing computed twice."""
+    """Return the best possible `Summary`: no token of a context is computed twice.
+
+    `prefill_rate` is in tokens per second.
+    """
     prompts = [item for item in run.outcomes if item.arrival.kind == "prompt"]
     times = histogram(item.never_seen_tokens / prefill_rate for item in prompts)
     total = sum(item.arrival.prompt_tokens for item in prompts) or 1
@@ -103,10 +126,15 @@
 
 
 def judge(path, summary_by_name):
-    """Return (outcome, measured, held) of each outcome stated in a file.
+    """Check the outcomes that a YAML file states.
+
+    An outcome names a measure of one run and its bounds, ``at_most`` and ``at_least``.
+    With ``relative_to`` the measure is divided by the same measure of another run.
 
-    An outcome names a measure of one run, may divide it by another run's, and
-    states a bound.
+    Returns
+    -------
+    list of tuple
+        The outcome, the measured value, and whether it is within the bounds.
     """
     stated = yaml.safe_load(path.read_text("utf-8"))["outcomes"]
     return [_judge_one(item, summary_by_name) for item in stated]
@@ -124,7 +152,11 @@
 
 
 def _split(answered):
-    """Split computed tokens by why: never seen, evicted, or moved elsewhere."""
+    """Return the computed tokens by cause.
+
+    ``never_seen``: no earlier prompt of the context had them. ``moved``: the context
+    was last at another target. ``evicted``: all others.
+    """
     split = {"never_seen": 0, "evicted": 0, "moved": 0}
     last_target = {}
     for item in answered:
@@ -139,7 +171,7 @@
 
 
 def _longest_over(links, bound):
-    """Return the longest unbroken time that any link was used beyond a bound."""
+    """Return the longest time, in seconds, that a link stayed above a share of use."""
     longest = 0.0
     for name in {item.store_host for item in links}:
         since = None
--- a/packages/lab/sesamespindle/lab/platform.py
+++ b/packages/lab/sesamespindle/lab/platform.py
@@ -1,4 +1,8 @@
-"""A stand-in for the platform: versioned objects, watches, a lagging host list."""
+"""A stand-in for the platform.
+
+It has versioned objects with conditional writes and watches, and a list of hosts that
+shows changes after a delay.
+"""
 
 import asyncio
 import collections
@@ -13,7 +17,7 @@
 
 
 class _Rate:
-    """A token bucket that fills at a rate a second."""
+    """A token bucket that holds at most the tokens of one second."""
 
     def __init__(self, per_second):
         self._per_second = per_second
@@ -32,7 +36,23 @@
 
 
 class Platform:
-    """Keeps objects in memory; faults make it slow, deaf, forgetful or stale."""
+    """Keeps objects and the host list in memory, and injects faults on request.
+
+    Parameters
+    ----------
+    reads_per_second, writes_per_second : int
+        Rate limits; calls above them are answered with status 429.
+    host_lag : float
+        Seconds until a change of the hosts shows in the list.
+
+    Notes
+    -----
+    Faults: ``away``, connections are cut; ``delay``, seconds before each call;
+    ``lose_answers``, the number of writes that are applied but whose connection is cut
+    before the answer; ``stale_reads``, reads return the previous version of an object;
+    ``hosts_frozen``, the host list does not change; ``hold_claims``, answers to writes
+    of claims are held back until the fault is switched off.
+    """
 
     def __init__(self, reads_per_second=2000, writes_per_second=500, host_lag=1.0):
         self._object_by_key = {}
@@ -71,7 +91,10 @@
 
     @aiohttp.web.middleware
     async def _strike(self, request, handler):
-        """Let the faults in force strike a call of the API."""
+        """Apply the active faults and the rate limits to a call of the API.
+
+        Changes of the hosts, the counters and the faults themselves are exempt.
+        """
         if request.path in ("/faults", "/counts") or request.path.startswith("/hosts/"):
             return await handler(request)
         if self._faults["away"]:
@@ -152,7 +175,7 @@
         return aiohttp.web.json_response({})
 
     def _list_later(self):
-        """Show a change in the list only after the lag."""
+        """Publish the current hosts in the list after the lag."""
         snapshot = dict(self._host_by_name)
         asyncio.get_running_loop().call_later(self._host_lag, self._show, snapshot)
 
--- a/packages/lab/sesamespindle/lab/processes.py
+++ b/packages/lab/sesamespindle/lab/processes.py
@@ -1,4 +1,4 @@
-"""Starting and ending the processes of a fleet; nobody else starts any."""
+"""Start and end the processes of a fleet."""
 
 import asyncio
 import contextlib
@@ -12,18 +12,18 @@
 
 
 class StartError(Exception):
-    """A process ended, or stayed silent, before it said where it listens."""
+    """Raised when a process ends or times out before it announces its address."""
 
     code = "start"
 
 
 class Process:
-    """One process, known by what it announced as a line of JSON.
+    """A process that has announced its addresses as lines of JSON.
 
     Attributes
     ----------
     announced : dict
-        What the process said of itself.
+        The announced values by name, such as ``url`` and ``admin_url``.
     """
 
     def __init__(self, name, child, announced, log):
@@ -39,28 +39,32 @@
 
     @property
     def url(self):
-        """Return where the process listens."""
+        """Return the URL at which the process listens."""
         return self.announced["url"]
 
     @property
     def running(self):
-        """Return whether the process has not ended."""
+        """Return whether the process is still running."""
         return self._child.returncode is None
 
     def send_signal(self, number):
-        """Send a signal, if the process still runs."""
+        """Send a signal, if the process is still running."""
         if self.running:
             with contextlib.suppress(ProcessLookupError):
                 self._child.send_signal(number)
 
     async def kill(self):
-        """End the process without a word, as a host that dies does."""
+        """Kill the process, which simulates the sudden death of its host."""
         self.send_signal(signal.SIGKILL)
         await self._child.wait()
         self._log.close()
 
     async def stop(self):
-        """Ask the process to end, and return its exit code."""
+        """Ask the process to end, and return its exit code.
+
+        A process that is paused by SIGSTOP is continued first, as it could not handle
+        SIGTERM. A process that has not ended after 15 s is killed.
+        """
         self.send_signal(signal.SIGCONT)
         self.send_signal(signal.SIGTERM)
         try:
@@ -77,19 +81,21 @@
 
 
 async def start(name, arguments, folder, environment=None):
-    """Start a Python module as a process and return it once it announced itself.
+    """Start a Python module as a process and return it once it has announced itself.
 
     Parameters
     ----------
     arguments : list of str
         The module and its arguments.
     folder : pathlib.Path
-        Where its log goes.
+        The folder for its log.
+    environment : dict, optional
+        Environment variables to add.
 
     Raises
     ------
     StartError
-        If it did not announce itself.
+        If it ended, or did not announce itself within 30 s.
     """
     folder.mkdir(parents=True, exist_ok=True)
     log = open(folder / f"{name}.log", "ab")  # noqa: SIM115
@@ -110,8 +116,8 @@
             child.kill()
         await child.wait()
         raise StartError(
-            f"{name} said nothing within {_START_SECONDS:.0f} s "
-            f"and was ended; see {folder / name}.log."
+            f"{name} did not announce its address within {_START_SECONDS:.0f} s "
+            f"and was killed; see {folder / name}.log."
         ) from None
     if not line:
         with contextlib.suppress(ProcessLookupError):
@@ -119,7 +125,7 @@
         code = await child.wait()
         raise StartError(
             f"{name} ended with exit code {code} "
-            f"before it said where it listens; see {folder / name}.log."
+            f"before it announced its address; see {folder / name}.log."
         )
     announced = json.loads(line)
     if "proxy_url" in announced:
--- a/packages/lab/sesamespindle/lab/proxy.py
+++ b/packages/lab/sesamespindle/lab/proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy that delays, cuts, freezes, or drops one direction."""
+"""A TCP proxy that injects network faults."""
 
 import asyncio
 import contextlib
@@ -14,7 +14,12 @@
 
 
 class Mode(enum.StrEnum):
-    """What the proxy does with bytes."""
+    """What the proxy does with the bytes of its connections.
+
+    PASS forwards them. FREEZE holds both directions until the mode changes.
+    DROP_ANSWERS and DROP_REQUESTS discard the bytes of one direction. REFUSE closes
+    the listening socket, so that new connections are refused.
+    """
 
     PASS = "pass"
     FREEZE = "freeze"
@@ -24,11 +29,11 @@
 
 
 class Proxy:
-    """Passes TCP connections on to one address, as the faults allow.
+    """Forwards TCP connections to one address, subject to the faults that are set.
 
-    Faults: ``mode``, one of `Mode`; ``delay``, seconds before each chunk;
-    ``cut``, which ends all connections at once; ``cut_after_bytes``, which
-    ends each connection after that many bytes towards the target.
+    Faults: ``mode``, one of `Mode`; ``delay``, seconds before each chunk of bytes;
+    ``cut``, which aborts all connections once; ``cut_after_bytes``, which aborts all
+    connections when a new one has sent that many bytes to the target.
     """
 
     def __init__(self, target_host, target_port):
@@ -42,18 +47,18 @@
         self._server = None
 
     def application(self):
-        """Return the aiohttp application of the proxy's door for faults."""
+        """Return the aiohttp application through which faults are set."""
         application = aiohttp.web.Application()
         application.router.add_post("/faults", self._switch)
         return application
 
     @property
     def address(self):
-        """Where the proxy accepts connections, once it listens."""
+        """Return HOST:PORT at which the proxy accepts connections, once it listens."""
         return f"{_HOST}:{self._port}"
 
     def lead_to(self, host, port):
-        """Pass later connections on to another address."""
+        """Forward new connections to another address."""
         self._target = (host, port)
 
     async def __aenter__(self):
@@ -65,18 +70,21 @@
         self._cut()
 
     async def serve(self, stop_asked):
-        """Serve until told to stop; print where the two ports are."""
+        """Serve until an event is set; print the two URLs as lines of JSON.
+
+        The first line has the URL of the proxy, the second that of the faults.
+        """
         async with self:
             print(json.dumps({"proxy_url": f"http://{self.address}"}), flush=True)
             await standin.serve(self.application(), 0, stop_asked)
 
     async def _listen(self):
-        """Accept connections, after a refusal at the same port as before."""
+        """Accept connections, at the same port as before if there was one."""
         self._server = await asyncio.start_server(self._accept, _HOST, self._port)
         self._port = self._server.sockets[0].getsockname()[1]
 
     async def _close(self):
-        """Have the system refuse connections, as a host without the program."""
+        """Close the listening socket, so that the system refuses connections."""
         if self._server is not None:
             self._server.close()
             self._server = None
@@ -86,7 +94,7 @@
         return aiohttp.web.json_response({"mode": self._mode})
 
     async def apply(self, faults):
-        """Change the faults that are named; the others stay."""
+        """Set the given faults; the others keep their values."""
         self._mode = Mode(faults.get("mode", self._mode))
         self._delay = faults.get("delay", self._delay)
         self._cut_after_bytes = faults.get("cut_after_bytes", self._cut_after_bytes)
