--- a/packages/lab/sesamespindle/lab/fleet.py
+++ b/packages/lab/sesamespindle/lab/fleet.py
@@ -97,7 +97,7 @@
     def __init__(self, plan, progress=lambda line: None):
         self.plan = plan
         self._progress = progress
-        self._stack = contextlib.AsyncExitStack()
+        self._exit_stack = contextlib.AsyncExitStack()
         self._entities = documents.read_folder(plan.example)
         self.session = None
         self.platform = None
@@ -110,16 +110,18 @@
     async def __aenter__(self):
         shutil.rmtree(self.plan.folder, ignore_errors=True)
         self.plan.folder.mkdir(parents=True)
-        self.session = await self._stack.enter_async_context(aiohttp.ClientSession())
+        self.session = await self._exit_stack.enter_async_context(
+            aiohttp.ClientSession()
+        )
         try:
             await self._start_all()
         except BaseException:
-            await self._end_all()
+            await self._stop_all()
             raise
         return self
 
     async def __aexit__(self, *exc_info):
-        await self._end_all()
+        await self._stop_all()
 
     @property
     def accounts(self):
@@ -176,7 +178,7 @@
 
     async def status(self, name):
         """Return the status that a daemon reports on its admin API."""
-        return await self._ask_operators_door(name, "/status")
+        return await self._get_from_admin(name, "/status")
 
     async def timeline(self, name):
         """Return the events of an entry's timeline, read from its admin API.
@@ -184,10 +186,10 @@
         Tests use this rather than the command line, which takes seconds to start on a
         busy machine; by then an entry may have finished resuming a stream.
         """
-        told = await self._ask_operators_door(name, "/timeline")
-        return told["events"]
+        answer = await self._get_from_admin(name, "/timeline")
+        return answer["events"]
 
-    async def _ask_operators_door(self, name, path):
+    async def _get_from_admin(self, name, path):
         url = self.process_by_name[name].announced["admin_url"]
         headers = {"Authorization": f"Bearer {ADMIN_KEY}"}
         async with self.session.get(f"{url}{path}", headers=headers) as response:
@@ -228,8 +230,8 @@
         process = await processes.start(
             name, [_DAEMON, str(path)], self.plan.folder, secrets
         )
-        self._keep(name, "daemon", data_centre, process)
-        await self._list(name, "entry", data_centre, process.announced)
+        self._register_process(name, "daemon", data_centre, process)
+        await self._add_to_host_list(name, "entry", data_centre, process.announced)
         return process
 
     async def restart_target(self, name):
@@ -312,9 +314,9 @@
     def write_description(self):
         """Write the fleet's JSON file atomically; return its path."""
         path = self.plan.folder / "fleet.json"
-        draft = path.with_suffix(".draft")
-        draft.write_text(json.dumps(self.describe(), indent=2), "utf-8")
-        draft.replace(path)
+        draft_path = path.with_suffix(".draft")
+        draft_path.write_text(json.dumps(self.describe(), indent=2), "utf-8")
+        draft_path.replace(path)
         return path
 
     async def _start_all(self):
@@ -323,7 +325,7 @@
         arguments = [_LAB, "standin", "platform", *plan.platform_options]
         self.platform = await processes.start("platform", arguments, plan.folder)
         data_centres = self._names("DataCentre")
-        self._keep("platform", "platform", data_centres[0], self.platform)
+        self._register_process("platform", "platform", data_centres[0], self.platform)
         if plan.proxy_platform:
             self.proxy_by_name["platform"] = await self._start_proxy(self.platform)
         await self._start_targets()
@@ -381,19 +383,19 @@
         if role == "store_host":
             arguments += plan.store_options
         process = await processes.start(name, arguments, plan.folder)
-        self._keep(name, role, data_centre, process)
+        self._register_process(name, role, data_centre, process)
         announced = dict(process.announced)
         if name in plan.proxied:
             proxy = await self._start_proxy(process)
             self.proxy_by_name[name] = proxy
             announced["url"] = proxy.announced["proxy_url"]
-        await self._list(name, role, data_centre, announced)
+        await self._add_to_host_list(name, role, data_centre, announced)
 
     async def _start_proxy(self, process):
         name = f"{process.name}-proxy"
         arguments = [_LAB, "proxy", process.url.removeprefix("http://")]
         proxy = await processes.start(name, arguments, self.plan.folder)
-        self._stack.push_async_callback(proxy.stop)
+        self._exit_stack.push_async_callback(proxy.stop)
         return proxy
 
     def _platform_url_for_daemons(self):
@@ -407,7 +409,7 @@
                 return entity.model.version
         return "none"
 
-    async def _list(self, name, role, data_centre, announced):
+    async def _add_to_host_list(self, name, role, data_centre, announced):
         self._listed_url_by_name[name] = announced["url"]
         host = {
             "name": name,
@@ -447,7 +449,7 @@
             response.raise_for_status()
             return await response.json()
 
-    def _keep(self, name, role, data_centre, process):
+    def _register_process(self, name, role, data_centre, process):
         self.process_by_name[name] = process
         self.role_by_name[name] = role
         self._data_centre_by_name[name] = data_centre
@@ -459,7 +461,7 @@
             if entity.kind == kind
         ]
 
-    async def _end_all(self):
+    async def _stop_all(self):
         """End the daemons before the others, so that they do not see targets fail."""
         daemons = [self.process_by_name[name] for name in self.entry_names]
         others = [
@@ -469,4 +471,4 @@
         ]
         await asyncio.gather(*(process.stop() for process in daemons))
         await asyncio.gather(*(process.stop() for process in others))
-        await self._stack.aclose()
+        await self._exit_stack.aclose()
--- a/packages/lab/sesamespindle/lab/guards.py
+++ b/packages/lab/sesamespindle/lab/guards.py
@@ -16,9 +16,9 @@
 
 import yaml
 
-_LIST = pathlib.Path(__file__).with_name("guards.yaml")
+_GUARDS_FILE = pathlib.Path(__file__).with_name("guards.yaml")
 _PACKAGES = pathlib.Path("packages")
-_TEST_FAILED = 1
+_PYTEST_EXIT_TESTS_FAILED = 1
 _MOST_SECONDS = 240.0
 
 
@@ -61,7 +61,7 @@
 
 def read():
     """Return the guards listed in ``guards.yaml``."""
-    items = yaml.safe_load(_LIST.read_text("utf-8"))
+    items = yaml.safe_load(_GUARDS_FILE.read_text("utf-8"))
     return [Guard(**item) for item in items]
 
 
@@ -87,7 +87,7 @@
             copy = pathlib.Path(folder) / package.name
             shutil.copytree(package, copy)
             copies.append(str(copy))
-        _take_out(guard, pathlib.Path(folder))
+        _remove_guard(guard, pathlib.Path(folder))
         child = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -105,22 +105,22 @@
             stderr=asyncio.subprocess.STDOUT,
         )
         output, _ = await child.communicate()
-    if child.returncode not in (0, _TEST_FAILED):
+    if child.returncode not in (0, _PYTEST_EXIT_TESTS_FAILED):
         raise GuardError(
             f"{guard.name}: pytest did not run the test.\n{output.decode()}"
         )
-    return child.returncode == _TEST_FAILED
+    return child.returncode == _PYTEST_EXIT_TESTS_FAILED
 
 
-def _take_out(guard, folder):
+def _remove_guard(guard, folder):
     path = folder / guard.file
     text = path.read_text("utf-8")
-    for standing, instead in {guard.guard: guard.without, **guard.also}.items():
-        if text.count(standing) != 1:
+    for original, replacement in {guard.guard: guard.without, **guard.also}.items():
+        if text.count(original) != 1:
             raise GuardError(
-                f"{guard.name}: text found {text.count(standing)} times, not once."
+                f"{guard.name}: text found {text.count(original)} times, not once."
             )
-        text = text.replace(standing, instead)
+        text = text.replace(original, replacement)
     path.write_text(text, "utf-8")
 
 
--- a/packages/lab/sesamespindle/lab/kvlink.py
+++ b/packages/lab/sesamespindle/lab/kvlink.py
@@ -23,8 +23,8 @@
         missing = list(ids[found["blocks"] :])
         if not missing:
             return
-        begun = await _post(session, f"{url}/segments", {"ids": missing})
-        name = begun["name"]
+        created = await _post(session, f"{url}/segments", {"ids": missing})
+        name = created["name"]
         data = b"".join(payload(block_id) for block_id in missing)
         async with session.put(f"{url}/segments/{name}/data", data=data) as answer:
             answer.raise_for_status()
@@ -56,9 +56,9 @@
     """
     try:
         found = await _post(session, f"{url}/lookup", {"ids": ids})
-        useful = found["blocks"] - reused
-        if useful <= 0 or not _link_is_quicker(
-            found, useful, compute_blocks_per_second
+        importable_blocks = found["blocks"] - reused
+        if importable_blocks <= 0 or not _link_is_faster(
+            found, importable_blocks, compute_blocks_per_second
         ):
             return 0
         blocks = 0
@@ -69,7 +69,7 @@
         return 0
 
 
-def _link_is_quicker(found, blocks, compute_blocks_per_second):
+def _link_is_faster(found, blocks, compute_blocks_per_second):
     waiting = 1 + found["link_waiting"]
     size = sum(len(item["ids"]) for item in found["segments"]) * found["block_bytes"]
     link_seconds = waiting * size / found["link_bytes_per_second"]
@@ -80,8 +80,8 @@
     async with session.get(f"{url}/segments/{segment['name']}/data") as answer:
         answer.raise_for_status()
         data = await answer.read()
-    whole = len(data) == segment["length"]
-    if not whole or hashlib.sha256(data).hexdigest() != segment["checksum"]:
+    is_complete = len(data) == segment["length"]
+    if not is_complete or hashlib.sha256(data).hexdigest() != segment["checksum"]:
         raise ValueError("The segment's data does not match its length or checksum.")
     return len(segment["ids"])
 
--- a/packages/lab/sesamespindle/lab/main.py
+++ b/packages/lab/sesamespindle/lab/main.py
@@ -34,7 +34,7 @@
 @app.command(name="demo")
 def run_demo():
     """Run a short demonstration on a fleet of its own."""
-    show = _progress()
+    show = _make_progress()
     try:
         uvloop.run(demo.run(fleet.Plan(), show))
     except (demo.DemoError, fleet.FleetError) as error:
@@ -55,16 +55,16 @@
         entries=int(os.environ.get("FLEET_ENTRIES", "3")),
         engines=int(os.environ.get("FLEET_ENGINES", "3")),
     )
-    show = _progress()
+    show = _make_progress()
 
     async def run():
-        stop_asked = _stop_asked()
+        stop_event = _stop_event()
         async with fleet.Fleet(plan, show) as running:
             path = running.write_description()
             show(f"The processes are listed in {path}. Press Ctrl+C to stop them.")
             for name, value in running.environment.items():
                 show(f"export {name}={value}")
-            await stop_asked.wait()
+            await stop_event.wait()
             show("Stopping all processes.")
 
     uvloop.run(run())
@@ -82,11 +82,11 @@
         Replay under this policy only, without checking the stated outcomes.
     """
     routings = (routing,) if routing else bench.ROUTINGS
-    held = [
-        uvloop.run(bench.run(example, routings, _progress()))
+    outcomes_met = [
+        uvloop.run(bench.run(example, routings, _make_progress()))
         for example in examples or traces.SHAPE_BY_NAME
     ]
-    if not all(held):
+    if not all(outcomes_met):
         print("Some stated outcomes were not met.")
 
 
@@ -99,14 +99,14 @@
     wanted
         Check only the guards whose name contains this text.
     """
-    if uvloop.run(guards.run(_progress(), wanted)):
+    if uvloop.run(guards.run(_make_progress(), wanted)):
         sys.exit(_EXIT_FAILED)
 
 
 @app.command(name="capacity")
 def run_capacity():
     """Measure costs at growing sizes and write the tables of docs/CAPACITY.md."""
-    capacity.run(_progress())
+    capacity.run(_make_progress())
 
 
 @standins.command(name="platform")
@@ -117,8 +117,8 @@
     host_lag: float = 0.3,
 ):
     """Run a stand-in for the platform."""
-    made = platform.Platform(reads_per_second, writes_per_second, host_lag)
-    _serve(made.application(), port)
+    stand_in = platform.Platform(reads_per_second, writes_per_second, host_lag)
+    _serve(stand_in.application(), port)
 
 
 @standins.command(name="engine")
@@ -142,7 +142,7 @@
     )
 
     async def run():
-        await standin.serve(engine.Engine(model).application(), port, _stop_asked())
+        await standin.serve(engine.Engine(model).application(), port, _stop_event())
 
     uvloop.run(run())
 
@@ -157,8 +157,10 @@
     """Run a stand-in for a store host."""
 
     async def run():
-        made = store_host.StoreHost(capacity_blocks, block_bytes, link_bytes_per_second)
-        await standin.serve(made.application(), port, _stop_asked())
+        stand_in = store_host.StoreHost(
+            capacity_blocks, block_bytes, link_bytes_per_second
+        )
+        await standin.serve(stand_in.application(), port, _stop_event())
 
     uvloop.run(run())
 
@@ -168,7 +170,7 @@
     """Run a stand-in for a plain service."""
 
     async def run():
-        await standin.serve(service.Service().application(), port, _stop_asked())
+        await standin.serve(service.Service().application(), port, _stop_event())
 
     uvloop.run(run())
 
@@ -179,32 +181,32 @@
     host, port = target.split(":")
 
     async def run():
-        await proxy.Proxy(host, int(port)).serve(_stop_asked())
+        await proxy.Proxy(host, int(port)).serve(_stop_event())
 
     uvloop.run(run())
 
 
 def _serve(application, port):
     async def run():
-        await standin.serve(application, port, _stop_asked())
+        await standin.serve(application, port, _stop_event())
 
     uvloop.run(run())
 
 
-def _stop_asked():
+def _stop_event():
     """Return an event that SIGTERM and SIGINT set."""
-    stop_asked = asyncio.Event()
+    stop_event = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop_asked.set)
-    return stop_asked
+        loop.add_signal_handler(number, stop_event.set)
+    return stop_event
 
 
-def _progress():
-    begun = time.monotonic()
+def _make_progress():
+    started_at = time.monotonic()
 
     def show(line):
-        print(f"[{time.monotonic() - begun:5.1f} s] {line}", flush=True)
+        print(f"[{time.monotonic() - started_at:5.1f} s] {line}", flush=True)
 
     return show
 
--- a/packages/lab/sesamespindle/lab/measures.py
+++ b/packages/lab/sesamespindle/lab/measures.py
@@ -6,8 +6,8 @@
 import yaml
 
 # Range and precision of the histograms of times.
-_HIGHEST_MS = 600_000
-_DIGITS = 3
+_MAX_MS = 600_000
+_SIGNIFICANT_DIGITS = 3
 
 
 @dataclasses.dataclass(frozen=True)
@@ -60,10 +60,10 @@
 
 def histogram(seconds):
     """Return an HDR histogram, in milliseconds, of times in seconds."""
-    made = hdrh.histogram.HdrHistogram(1, _HIGHEST_MS, _DIGITS)
+    time_histogram = hdrh.histogram.HdrHistogram(1, _MAX_MS, _SIGNIFICANT_DIGITS)
     for value in seconds:
-        made.record_value(max(1, min(_HIGHEST_MS, round(value * 1000))))
-    return made
+        time_histogram.record_value(max(1, min(_MAX_MS, round(value * 1000))))
+    return time_histogram
 
 
 def summarize(run, account=""):
@@ -77,7 +77,7 @@
     times = histogram(item.first_token_seconds for item in answered)
     call_times = histogram(item.first_token_seconds for item in calls)
     total = sum(item.arrival.prompt_tokens for item in answered) or 1
-    split = _split(answered)
+    computed_by_cause = _computed_by_cause(answered)
     return Summary(
         account or run.name,
         len(prompts),
@@ -87,11 +87,11 @@
         times.get_value_at_percentile(95),
         times.get_value_at_percentile(99),
         sum(item.computed_tokens for item in answered) / total,
-        split["never_seen"] / total,
-        split["evicted"] / total,
-        split["moved"] / total,
+        computed_by_cause["never_seen"] / total,
+        computed_by_cause["evicted"] / total,
+        computed_by_cause["moved"] / total,
         max((item.share for item in run.links), default=0.0),
-        _longest_over(run.links, 0.9),
+        _longest_above(run.links, 0.9),
         call_times.get_value_at_percentile(95) if calls else 0.0,
         run.target_requests / (len(prompts) or 1),
     )
@@ -105,7 +105,7 @@
     prompts = [item for item in run.outcomes if item.arrival.kind == "prompt"]
     times = histogram(item.never_seen_tokens / prefill_rate for item in prompts)
     total = sum(item.arrival.prompt_tokens for item in prompts) or 1
-    fresh = sum(item.never_seen_tokens for item in prompts) / total
+    never_seen = sum(item.never_seen_tokens for item in prompts) / total
     return Summary(
         "floor",
         len(prompts),
@@ -114,8 +114,8 @@
         times.get_value_at_percentile(50),
         times.get_value_at_percentile(95),
         times.get_value_at_percentile(99),
-        fresh,
-        fresh,
+        never_seen,
+        never_seen,
         0.0,
         0.0,
         0.0,
@@ -137,10 +137,10 @@
         The outcome, the measured value, and whether it is within the bounds.
     """
     stated = yaml.safe_load(path.read_text("utf-8"))["outcomes"]
-    return [_judge_one(item, summary_by_name) for item in stated]
+    return [_check_outcome(item, summary_by_name) for item in stated]
 
 
-def _judge_one(item, summary_by_name):
+def _check_outcome(item, summary_by_name):
     measured = getattr(summary_by_name[item["of"]], item["measure"])
     if "relative_to" in item:
         base = getattr(summary_by_name[item["relative_to"]], item["measure"])
@@ -151,34 +151,34 @@
     return item, measured, held
 
 
-def _split(answered):
+def _computed_by_cause(answered):
     """Return the computed tokens by cause.
 
     ``never_seen``: no earlier prompt of the context had them. ``moved``: the context
     was last at another target. ``evicted``: all others.
     """
-    split = {"never_seen": 0, "evicted": 0, "moved": 0}
+    computed_by_cause = {"never_seen": 0, "evicted": 0, "moved": 0}
     last_target = {}
     for item in answered:
         context = item.arrival.context
-        fresh = min(item.never_seen_tokens, item.computed_tokens)
-        split["never_seen"] += fresh
-        again = item.computed_tokens - fresh
+        never_seen = min(item.never_seen_tokens, item.computed_tokens)
+        computed_by_cause["never_seen"] += never_seen
+        recomputed = item.computed_tokens - never_seen
         moved = last_target.get(context, item.target) != item.target
-        split["moved" if moved else "evicted"] += again
+        computed_by_cause["moved" if moved else "evicted"] += recomputed
         last_target[context] = item.target
-    return split
+    return computed_by_cause
 
 
-def _longest_over(links, bound):
+def _longest_above(links, threshold):
     """Return the longest time, in seconds, that a link stayed above a share of use."""
     longest = 0.0
     for name in {item.store_host for item in links}:
-        since = None
+        above_since = None
         for item in (sample for sample in links if sample.store_host == name):
-            if item.share <= bound:
-                since = None
+            if item.share <= threshold:
+                above_since = None
                 continue
-            since = item.at if since is None else since
-            longest = max(longest, item.at - since)
+            above_since = item.at if above_since is None else above_since
+            longest = max(longest, item.at - above_since)
     return longest
--- a/packages/lab/sesamespindle/lab/platform.py
+++ b/packages/lab/sesamespindle/lab/platform.py
@@ -16,19 +16,19 @@
 _UNCHANGED = 304
 
 
-class _Rate:
+class _TokenBucket:
     """A token bucket that holds at most the tokens of one second."""
 
     def __init__(self, per_second):
         self._per_second = per_second
         self._tokens = per_second
-        self._at = time.monotonic()
+        self._filled_at = time.monotonic()
 
     def take(self):
         now = time.monotonic()
-        filled = self._tokens + (now - self._at) * self._per_second
+        filled = self._tokens + (now - self._filled_at) * self._per_second
         self._tokens = min(filled, self._per_second)
-        self._at = now
+        self._filled_at = now
         if self._tokens < 1:
             return False
         self._tokens -= 1
@@ -62,8 +62,8 @@
         self._listed_by_name = {}
         self._host_lag = host_lag
         self._list_version = 1
-        self._reads = _Rate(reads_per_second)
-        self._writes = _Rate(writes_per_second)
+        self._reads = _TokenBucket(reads_per_second)
+        self._writes = _TokenBucket(writes_per_second)
         self._count_by_call = collections.Counter()
         self._faults = standin.Faults(
             away=False,
@@ -77,20 +77,20 @@
     def application(self):
         """Return the aiohttp application."""
         application = aiohttp.web.Application(
-            client_max_size=MAX_VALUE_BYTES, middlewares=[self._strike]
+            client_max_size=MAX_VALUE_BYTES, middlewares=[self._inject_faults]
         )
         route = application.router
         route.add_get("/objects/{kind}/{name}", self._get)
         route.add_put("/objects/{kind}/{name}", self._put)
-        route.add_get("/hosts", self._hosts)
+        route.add_get("/hosts", self._get_hosts)
         route.add_put("/hosts/{name}", self._put_host)
         route.add_delete("/hosts/{name}", self._delete_host)
-        route.add_get("/counts", self._counts)
+        route.add_get("/counts", self._show_counts)
         self._faults.add_route(application)
         return application
 
     @aiohttp.web.middleware
-    async def _strike(self, request, handler):
+    async def _inject_faults(self, request, handler):
         """Apply the active faults and the rate limits to a call of the API.
 
         Changes of the hosts, the counters and the faults themselves are exempt.
@@ -119,7 +119,7 @@
         key = (request.match_info["kind"], request.match_info["name"])
         if "after" in request.query:
             return await self._watch(request, key)
-        return _object_response(self._read(key))
+        return _object_response(self._readable_object(key))
 
     async def _watch(self, request, key):
         after = int(request.query["after"])
@@ -129,9 +129,9 @@
                 await self._changed.wait_for(lambda: self._version(key) > after)
         except TimeoutError:
             return aiohttp.web.Response(status=_UNCHANGED)
-        return _object_response(self._read(key))
+        return _object_response(self._readable_object(key))
 
-    def _read(self, key):
+    def _readable_object(self, key):
         if self._faults["stale_reads"] and key in self._previous_by_key:
             return self._previous_by_key[key]
         return self._object_by_key.get(key)
@@ -155,7 +155,7 @@
             self._changed.notify_all()
         return aiohttp.web.json_response({"version": version + 1})
 
-    async def _hosts(self, request):
+    async def _get_hosts(self, request):
         if int(request.query.get("after", "0")) == self._list_version:
             return aiohttp.web.Response(status=_UNCHANGED)
         value = list(self._listed_by_name.values())
@@ -166,25 +166,27 @@
     async def _put_host(self, request):
         host = await request.json()
         self._host_by_name[host["name"]] = host
-        self._list_later()
+        self._publish_list_later()
         return aiohttp.web.json_response({})
 
     async def _delete_host(self, request):
         self._host_by_name.pop(request.match_info["name"], None)
-        self._list_later()
+        self._publish_list_later()
         return aiohttp.web.json_response({})
 
-    def _list_later(self):
+    def _publish_list_later(self):
         """Publish the current hosts in the list after the lag."""
         snapshot = dict(self._host_by_name)
-        asyncio.get_running_loop().call_later(self._host_lag, self._show, snapshot)
+        asyncio.get_running_loop().call_later(
+            self._host_lag, self._publish_list, snapshot
+        )
 
-    def _show(self, snapshot):
+    def _publish_list(self, snapshot):
         if not self._faults["hosts_frozen"]:
             self._listed_by_name = snapshot
             self._list_version += 1
 
-    async def _counts(self, request):
+    async def _show_counts(self, request):
         return aiohttp.web.json_response(dict(self._count_by_call))
 
 
--- a/packages/lab/sesamespindle/lab/processes.py
+++ b/packages/lab/sesamespindle/lab/processes.py
@@ -7,8 +7,8 @@
 import signal
 import sys
 
-_START_SECONDS = 30.0
-_END_SECONDS = 15.0
+_START_TIMEOUT = 30.0
+_STOP_TIMEOUT = 15.0
 
 
 class StartError(Exception):
@@ -68,7 +68,7 @@
         self.send_signal(signal.SIGCONT)
         self.send_signal(signal.SIGTERM)
         try:
-            async with asyncio.timeout(_END_SECONDS):
+            async with asyncio.timeout(_STOP_TIMEOUT):
                 await self._child.wait()
         except TimeoutError:
             await self.kill()
@@ -109,22 +109,22 @@
         env=os.environ | (environment or {}),
     )
     try:
-        async with asyncio.timeout(_START_SECONDS):
+        async with asyncio.timeout(_START_TIMEOUT):
             line = await child.stdout.readline()
     except TimeoutError:
         with contextlib.suppress(ProcessLookupError):
             child.kill()
         await child.wait()
         raise StartError(
-            f"{name} did not announce its address within {_START_SECONDS:.0f} s "
+            f"{name} did not announce its address within {_START_TIMEOUT:.0f} s "
             f"and was killed; see {folder / name}.log."
         ) from None
     if not line:
         with contextlib.suppress(ProcessLookupError):
             child.kill()
-        code = await child.wait()
+        exit_code = await child.wait()
         raise StartError(
-            f"{name} ended with exit code {code} "
+            f"{name} ended with exit code {exit_code} "
             f"before it announced its address; see {folder / name}.log."
         )
     announced = json.loads(line)
--- a/packages/lab/sesamespindle/lab/proxy.py
+++ b/packages/lab/sesamespindle/lab/proxy.py
@@ -49,7 +49,7 @@
     def application(self):
         """Return the aiohttp application through which faults are set."""
         application = aiohttp.web.Application()
-        application.router.add_post("/faults", self._switch)
+        application.router.add_post("/faults", self._set_faults)
         return application
 
     @property
@@ -62,12 +62,12 @@
         self._target = (host, port)
 
     async def __aenter__(self):
-        await self._listen()
+        await self._start_listening()
         return self
 
     async def __aexit__(self, *exc_info):
-        await self._close()
-        self._cut()
+        await self._stop_listening()
+        self._abort_all()
 
     async def serve(self, stop_asked):
         """Serve until an event is set; print the two URLs as lines of JSON.
@@ -78,18 +78,18 @@
             print(json.dumps({"proxy_url": f"http://{self.address}"}), flush=True)
             await standin.serve(self.application(), 0, stop_asked)
 
-    async def _listen(self):
+    async def _start_listening(self):
         """Accept connections, at the same port as before if there was one."""
         self._server = await asyncio.start_server(self._accept, _HOST, self._port)
         self._port = self._server.sockets[0].getsockname()[1]
 
-    async def _close(self):
+    async def _stop_listening(self):
         """Close the listening socket, so that the system refuses connections."""
         if self._server is not None:
             self._server.close()
             self._server = None
 
-    async def _switch(self, request):
+    async def _set_faults(self, request):
         await self.apply(await request.json())
         return aiohttp.web.json_response({"mode": self._mode})
 
@@ -99,33 +99,35 @@
         self._delay = faults.get("delay", self._delay)
         self._cut_after_bytes = faults.get("cut_after_bytes", self._cut_after_bytes)
         if faults.get("cut"):
-            self._cut()
+            self._abort_all()
         if self._mode is Mode.REFUSE:
-            await self._close()
+            await self._stop_listening()
         elif self._server is None:
-            await self._listen()
+            await self._start_listening()
         async with self._changed:
             self._changed.notify_all()
 
-    def _cut(self):
+    def _abort_all(self):
         for writer in list(self._writers):
             writer.transport.abort()
 
     async def _accept(self, reader, writer):
         try:
-            far_reader, far_writer = await asyncio.open_connection(*self._target)
+            target_reader, target_writer = await asyncio.open_connection(*self._target)
         except OSError:
             writer.transport.abort()
             return
-        self._writers |= {writer, far_writer}
+        self._writers |= {writer, target_writer}
         await asyncio.gather(
-            self._pump(reader, far_writer, Mode.DROP_REQUESTS, self._cut_after_bytes),
-            self._pump(far_reader, writer, Mode.DROP_ANSWERS, 0),
+            self._forward(
+                reader, target_writer, Mode.DROP_REQUESTS, self._cut_after_bytes
+            ),
+            self._forward(target_reader, writer, Mode.DROP_ANSWERS, 0),
         )
-        self._writers -= {writer, far_writer}
+        self._writers -= {writer, target_writer}
 
-    async def _pump(self, reader, writer, drop_mode, limit):
-        passed = 0
+    async def _forward(self, reader, writer, drop_mode, cut_after_bytes):
+        forwarded_bytes = 0
         with contextlib.suppress(OSError):
             while chunk := await reader.read(_CHUNK_BYTES):
                 if self._delay:
@@ -134,9 +136,9 @@
                     await self._changed.wait_for(lambda: self._mode is not Mode.FREEZE)
                 if self._mode is drop_mode:
                     continue
-                passed += len(chunk)
-                if limit and passed >= limit:
-                    self._cut()
+                forwarded_bytes += len(chunk)
+                if cut_after_bytes and forwarded_bytes >= cut_after_bytes:
+                    self._abort_all()
                     return
                 writer.write(chunk)
                 await writer.drain()
--- a/tests/lab/test_processes.py
+++ b/tests/lab/test_processes.py
@@ -5,7 +5,7 @@
 from sesamespindle.lab import processes
 
 
-def test_a_process_that_ended_is_told_from_one_that_was_slow(go, tmp_path, monkeypatch):
+def test_start_error_tells_an_ended_process_from_a_slow_one(go, tmp_path, monkeypatch):
     """The error of a failed start does not show whether the process ended or was slow.
 
     A process that fails at once and one that is starved of processor time on a busy
@@ -14,7 +14,7 @@
     """
     with pytest.raises(processes.StartError, match=r"a ended with exit code 1 "):
         go(processes.start("a", ["no_such_module"], tmp_path))
-    monkeypatch.setattr(processes, "_START_SECONDS", 0.0)
+    monkeypatch.setattr(processes, "_START_TIMEOUT", 0.0)
     with pytest.raises(
         processes.StartError, match=r"a did not announce its address within 0 s "
     ):
