--- a/packages/lab/sesamespindle/lab/replay.py
+++ b/packages/lab/sesamespindle/lab/replay.py
@@ -1,4 +1,4 @@
-"""Replaying a trace against a fleet of real processes."""
+"""Replay of a trace against a fleet of real processes."""
 
 import asyncio
 import dataclasses
@@ -12,14 +12,29 @@
 
 @dataclasses.dataclass
 class Outcome:
-    """What became of one arrival.
+    """The result of one arrival of the trace.
 
     Attributes
     ----------
-    late_seconds : float
-        How late the replay sent it, by its own fault.
+    arrival : traces.Arrival
+        The request of the trace.
+    never_seen_tokens : int
+        Prompt tokens that no earlier prompt of the context had.
+    answered : bool
+        Whether a complete answer was received.
+    code : str
+        The error code of the last refusal.
     tries : int
-        How often it was sent before it was answered or given up.
+        Attempts until it was answered or abandoned.
+    first_token_seconds : float
+        Seconds to the first token. For a call, and for a prompt that took several
+        attempts, seconds from the first attempt to the end of the answer.
+    reused_tokens, imported_tokens, computed_tokens : int
+        Prompt tokens from the engine's cache, from a store host, and prefilled.
+    target : str
+        The target that answered.
+    late_seconds : float
+        Seconds after its due time at which the replay sent it.
     """
 
     arrival: traces.Arrival
@@ -37,7 +52,17 @@
 
 @dataclasses.dataclass
 class LinkSample:
-    """The share of a store host's link that was in use at a time."""
+    """The use of a store host's link in one sampling interval.
+
+    Attributes
+    ----------
+    store_host : str
+        The name of the store host.
+    at : float
+        Seconds from the start of the replay.
+    share : float
+        The share of the link's rate that was in use, 1 if all of it.
+    """
 
     store_host: str
     at: float
@@ -46,7 +71,21 @@
 
 @dataclasses.dataclass
 class Run:
-    """A whole replay."""
+    """The results of a replay.
+
+    Attributes
+    ----------
+    name : str
+        The routing policy.
+    outcomes : list of Outcome
+        One for each arrival.
+    links : list of LinkSample
+        The use of all store hosts' links.
+    target_requests : int
+        Requests that the engines received.
+    seconds : float
+        The duration of the replay.
+    """
 
     name: str
     outcomes: list
@@ -56,7 +95,7 @@
 
 
 class Replay:
-    """Sends the arrivals of a trace when they are due.
+    """Sends the arrivals of a trace at their due times.
 
     Parameters
     ----------
@@ -65,9 +104,9 @@
     arrivals : list of traces.Arrival
         The trace.
     speed : float
-        Seconds of traced time in a second.
+        Seconds of the trace's time per second of the replay.
     link_bytes_per_second : float
-        The rate of the store hosts' links.
+        The rate of each store host's link.
     """
 
     def __init__(self, running, arrivals, speed, link_bytes_per_second):
@@ -80,7 +119,7 @@
         self._callers = {}
 
     async def run(self, name, show):
-        """Replay the trace and return what came of it as `Run`."""
+        """Replay the trace and return the results as a `Run`."""
         for account in sorted({item.account for item in self._arrivals}):
             await self._meet(account)
         fresh = traces.never_seen_tokens(self._arrivals)
@@ -106,7 +145,7 @@
         return Run(name, outcomes, self._links, received, seconds)
 
     async def _meet(self, account):
-        """Ask for the account's entries, as its callers do."""
+        """Fetch the account's list of entries, as its callers do."""
         made = caller.Caller(self._running.session, fleet.demo_key(account))
         url = self._running.url(self._running.entry_names[0])
         reply = await made.get(f"{url}/v1/entries")
@@ -124,7 +163,7 @@
             await asyncio.sleep(wait)
 
     async def _try(self, outcome, begun):
-        """Send once; return the seconds to wait before the next try."""
+        """Send one attempt; return the seconds to wait before the next one."""
         arrival = outcome.arrival
         made = self._callers[arrival.account]
         url = self._entries_by_account[arrival.account][0]
--- a/packages/lab/sesamespindle/lab/report.py
+++ b/packages/lab/sesamespindle/lab/report.py
@@ -1,4 +1,4 @@
-"""A replay's report: a table for the terminal and a page of its own."""
+"""The report of replays, as a table for the terminal and as an HTML page."""
 
 import html
 
@@ -11,6 +11,7 @@
     "CALLS P95", "REQUESTS",
 )  # fmt: skip
 _COLOURS = ("#c0392b", "#e67e22", "#8e44ad", "#2471a3", "#117a65")
+# Size of a plot, in pixels.
 _WIDTH, _HEIGHT = 720, 260
 _PERCENTILES = (10, 25, 50, 75, 90, 95, 99, 99.9)
 _PAGE = """<!doctype html>
@@ -37,12 +38,24 @@
 
 
 def text_table(summaries):
-    """Return summaries as an aligned table."""
+    """Return `measures.Summary` objects as an aligned text table."""
     return outcomes.table(_HEADINGS, [_cells(item) for item in summaries])
 
 
 def page(title, runs, summaries, judged):
-    """Return the report as one page without outside parts."""
+    """Return the report as one HTML page that loads nothing else.
+
+    Parameters
+    ----------
+    title : str
+        The name of the example.
+    runs : list of replay.Run
+        The replays, one for each routing policy.
+    summaries : list of measures.Summary
+        The rows of the comparison.
+    judged : list of tuple
+        The checked outcomes, as `measures.judge` returns them.
+    """
     accounts = sorted({item.arrival.account for item in runs[-1].outcomes})
     by_account = [measures.summarize(runs[-1], name) for name in accounts]
     return _PAGE.format(
@@ -125,7 +138,7 @@
 def _plot(series, label):
     points = [point for _, line in series for point in line]
     if not points:
-        return "<p>Nothing to plot.</p>"
+        return "<p>No data to plot.</p>"
     most_x = max(x for x, _ in points) or 1
     most_y = max(y for _, y in points) or 1
     lines = []
--- a/packages/lab/sesamespindle/lab/service.py
+++ b/packages/lab/sesamespindle/lab/service.py
@@ -9,10 +9,16 @@
 
 
 class Service:
-    """Runs every call it gets, and counts the runs by the call's subject.
+    """Runs every call that it receives and counts the runs of each reference.
 
-    The subject is the ``reference`` of a JSON body, which the caller chooses:
-    the count is made without the system's own ids, so that it can judge them.
+    The caller chooses the ``reference`` in the JSON body; without one, the path is
+    used. The counts do not depend on ids that the daemons create, so tests can use
+    them to detect a call that the daemons ran twice.
+
+    Faults: ``delay``, seconds before the answer; ``hold``, answers are held back until
+    it is switched off; ``cut_before``, ``cut_after`` and ``cut_inside``, the number of
+    connections to cut before a call runs, after it, and in the middle of its answer;
+    ``status``, the HTTP status of answers.
     """
 
     def __init__(self):
--- a/packages/lab/sesamespindle/lab/slopes.py
+++ b/packages/lab/sesamespindle/lab/slopes.py
@@ -1,4 +1,7 @@
-"""Measuring what the decision logic costs as its tables grow."""
+"""Measurements of how the costs of the decision logic grow with its tables.
+
+The logic runs alone: without processes, network or platform.
+"""
 
 import dataclasses
 import datetime
@@ -18,12 +21,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Size:
-    """How large the tables are.
+    """The size of a fleet.
 
     Attributes
     ----------
     entries, data_centres, targets, accounts : int
-        Rows of each kind.
+        The number of rows in the table of each kind.
     """
 
     entries: int
@@ -34,14 +37,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Cost:
-    """What one operation costs.
+    """The cost of one operation.
 
     Attributes
     ----------
     microseconds : float
-        Processor time of one operation, the median of several runs.
+        Processor time of one operation, the median of several series.
     message_bytes : float
-        Bytes that it sends and gets, before the transport's own.
+        Bytes of the messages sent and received, without transport overhead.
     """
 
     microseconds: float
@@ -49,7 +52,7 @@
 
 
 class Bench:
-    """A daemon's decision logic in a fleet of a given size."""
+    """The decision logic of one daemon, filled with a fleet of a given size."""
 
     def __init__(self, size):
         self.size = size
@@ -68,16 +71,19 @@
         )
 
     def feed(self, *happened):
-        """Step the logic and return its commands."""
+        """Run one step of the logic on events; return the commands it gives."""
         return self.core.step(self.now, happened)
 
     def prompt_cost(self):
-        """Return the `Cost` of one prompt from arrival to end."""
+        """Return the `Cost` of one prompt, from its arrival to its end."""
         self._grant_everything()
         return Cost(_microseconds(self._run_prompt, 400))
 
     def gossip_cost(self):
-        """Return the `Cost` of one round begun here and answered by a peer."""
+        """Return the `Cost` of one gossip round started here and answered by a peer.
+
+        It includes the work of both daemons.
+        """
         peer = Bench.__new__(Bench)
         peer.__init__(self.size)
         sizes = []
@@ -96,7 +102,7 @@
         return Cost(cost, statistics.mean(sizes) if sizes else 0.0)
 
     def tick_cost(self):
-        """Return the `Cost` of one tick between rounds of gossip."""
+        """Return the `Cost` of one tick between gossip rounds."""
         self._grant_everything()
         self.feed(events.Tick())
 
@@ -106,7 +112,7 @@
         return Cost(_microseconds(run, 100))
 
     def owner_cost(self):
-        """Return the `Cost` of one account's ask and grant, at its owner."""
+        """Return the `Cost` of a slice request and its grant at the account's owner."""
         mine = [
             row.name
             for row in self.core.state.accounts
@@ -133,7 +139,7 @@
         self.feed(events.SlicesAsked(str(number), holder, 1, number, (ask,)))
 
     def _answer(self, peer, command):
-        """Pass one half of a round to a peer, and its answer back."""
+        """Deliver a gossip message to a peer and the replies back; return the bytes."""
         size = peermessages.gossip_to_wire(command.message, 1, self.now).ByteSize()
         for reply in peer.feed(gossip.GossipReceived("x", command.message)):
             if isinstance(reply, commands.GossipReply):
@@ -173,7 +179,7 @@
 
 
 def declarations(size):
-    """Return declarations of a given size."""
+    """Return declarations for a fleet of a given size."""
     pools = [f"pool-{index}" for index in range(_MODELS)]
     return declared.Declarations(
         contracts=tuple(
@@ -201,7 +207,7 @@
 
 
 def bytes_of(make):
-    """Return what `make()` holds, in bytes, and keep nothing."""
+    """Return the memory, in bytes, allocated by the result of `make()`."""
     gc.collect()
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
@@ -214,7 +220,7 @@
 
 
 def _microseconds(run, count):
-    """Return the processor time of one run: the median of several series."""
+    """Return the processor time of one run, as the median of several series."""
     series = []
     for _ in range(_REPEATS):
         begun = time.process_time()
--- a/packages/lab/sesamespindle/lab/standin.py
+++ b/packages/lab/sesamespindle/lab/standin.py
@@ -1,4 +1,4 @@
-"""What all stand-ins share: faults by HTTP, and telling where they listen."""
+"""Shared code of the stand-ins: faults set over HTTP, and serving on loopback."""
 
 import asyncio
 import json
@@ -10,12 +10,12 @@
 
 
 class Faults:
-    """Faults that are switched by ``POST /faults`` with a JSON object.
+    """Faults that ``POST /faults`` sets with a JSON object of names and values.
 
     Parameters
     ----------
     **defaults
-        Every fault by name, with the value that means "none".
+        The name of every fault, with the value that switches it off.
     """
 
     def __init__(self, **defaults):
@@ -26,19 +26,19 @@
         return self._value_by_name[name]
 
     def take(self, name):
-        """Return whether a counted fault strikes now, and count it down."""
+        """Return whether a counted fault applies now; if so, count it down by one."""
         if self._value_by_name[name] <= 0:
             return False
         self._value_by_name[name] -= 1
         return True
 
     async def held(self, name):
-        """Wait for as long as a holding fault is switched on."""
+        """Wait until a fault that holds back answers is switched off."""
         while self._value_by_name[name]:
             await asyncio.sleep(_HOLD_STEP_SECONDS)
 
     def add_route(self, application):
-        """Add the door through which faults are switched."""
+        """Add the route through which faults are set."""
         application.router.add_post("/faults", self._switch)
 
     async def _switch(self, request):
@@ -53,9 +53,9 @@
 
 
 async def serve(application, port, stop_asked):
-    """Serve an application on loopback until it is told to stop.
+    """Serve an application on loopback until the event `stop_asked` is set.
 
-    Prints where it listens as one line of JSON.
+    Print the URL as one line of JSON once it listens. Port 0 takes a free port.
     """
     listening = socket.create_server(("127.0.0.1", port), backlog=1024)
     runner = aiohttp.web.AppRunner(
@@ -70,7 +70,7 @@
 
 
 async def until_cut(transport):
-    """Cut a connection without a word, as a host that dies does."""
+    """Abort a connection without an answer, as if the host died."""
     if transport is not None:
         transport.abort()
     await asyncio.sleep(0)
--- a/packages/lab/sesamespindle/lab/store_host.py
+++ b/packages/lab/sesamespindle/lab/store_host.py
@@ -1,4 +1,4 @@
-"""A stand-in for a store host: segments of KV cache behind a limited link."""
+"""A stand-in for a store host: segments of KV cache behind a link of limited rate."""
 
 import asyncio
 import collections
@@ -13,7 +13,10 @@
 
 @dataclasses.dataclass
 class Segment:
-    """Consecutive blocks of one chain; readable only once committed."""
+    """Consecutive blocks of one chain of block ids.
+
+    Lookups return it only once it is committed.
+    """
 
     name: str
     ids: list
@@ -22,16 +25,22 @@
 
 
 class StoreHost:
-    """Keeps segments in memory up to a capacity, oldest out first.
+    """Keeps segments in memory and evicts the least recently used ones when full.
 
     Parameters
     ----------
     capacity_blocks : int
-        The blocks that it has room for.
+        The capacity, in blocks.
     block_bytes : int
-        The modelled size of a block on the link.
+        The simulated size of a block on the link.
     link_bytes_per_second : float
-        The modelled rate of the link, for both directions together.
+        The simulated rate of the link, for both directions together.
+
+    Notes
+    -----
+    Faults: ``full``, new segments are refused; ``corrupt``, data is read as zeros;
+    ``truncate``, half of the data is missing when read; ``link_factor``, how many
+    times slower than its rate the link is.
     """
 
     def __init__(self, capacity_blocks, block_bytes, link_bytes_per_second):
@@ -79,11 +88,13 @@
         return aiohttp.web.json_response({})
 
     async def _commit(self, request):
-        """Make a segment readable, once its data is whole: the manifest is last."""
+        """Add a segment to the index, if its data matches the checksum."""
         segment = self._segment_by_name.get(request.match_info["name"])
         checksum = (await request.json())["checksum"]
         if segment is None or checksum != hashlib.sha256(segment.data).hexdigest():
-            return aiohttp.web.json_response({"error": "not whole"}, status=409)
+            return aiohttp.web.json_response(
+                {"error": "unknown segment or wrong checksum"}, status=409
+            )
         segment.committed = True
         self._counts["committed"] += 1
         for block_id in segment.ids:
@@ -91,7 +102,7 @@
         return aiohttp.web.json_response({})
 
     async def _lookup(self, request):
-        """Return the segments that hold the longest beginning of a chain."""
+        """Return the segments that hold the longest prefix of a chain of block ids."""
         ids = (await request.json())["ids"]
         segments = []
         blocks = 0
@@ -146,7 +157,8 @@
         used = sum(len(segment.ids) for segment in self._segment_by_name.values())
         while used + blocks > self._capacity and self._segment_by_name:
             _, oldest = self._segment_by_name.popitem(last=False)
-            # The way in goes first, so that no reader finds freed data.
+            # Remove the blocks from the index before the data is freed, so that no
+            # lookup returns an evicted segment.
             for block_id in oldest.ids:
                 if self._segment_by_block.get(block_id) is oldest:
                     del self._segment_by_block[block_id]
--- a/packages/lab/sesamespindle/lab/traces.py
+++ b/packages/lab/sesamespindle/lab/traces.py
@@ -1,10 +1,11 @@
-"""Traces of callers: their format, and two that are made from seeds."""
+"""Traces of requests: their format, and two generated from a seed."""
 
 import dataclasses
 import json
 import random
 
 _BYTES_PER_TOKEN = 4
+# Mean delay of a prompt after the start of its rush, a period of high load.
 _RUSH_SECONDS = 900.0
 
 
@@ -15,17 +16,23 @@
     Attributes
     ----------
     at : float
-        Seconds of the traced time, from its start.
+        Seconds from the start of the trace.
     kind : str
         ``prompt`` or ``call``.
+    account : str
+        The client account that sends it.
+    target : str
+        The model of a prompt, the service pool of a call.
     context : str
-        The context that the prompt returns to; calls have none.
+        The context that the prompt continues; for a call, its booking reference.
     turn : int
-        The how-manieth prompt of its context, from 1.
+        The number of the prompt within its context, from 1.
     prompt_tokens : int
-        Tokens of the whole prompt, the context included.
+        Tokens of the whole prompt, the context included; 0 for a call.
+    answer_tokens : int
+        Tokens of the answer; 0 for a call.
     event : str
-        The declared event that it belongs to; may be empty.
+        The declared event that it belongs to, or an empty string.
     """
 
     at: float
@@ -41,16 +48,32 @@
 
 @dataclasses.dataclass(frozen=True)
 class Shape:
-    """What a made trace is like.
+    """The parameters of a generated trace.
 
     Attributes
     ----------
+    model : str
+        The model that all prompts use.
     accounts : dict
-        Accounts by the share of the contexts that they have.
+        The share of the contexts that each account has, by the account's name.
+    contexts : int
+        The number of contexts.
     context_tokens : tuple of int
-        The smallest and the largest context.
+        The smallest and the largest size of a context, in tokens.
     turn_tokens : int
-        Tokens that each turn adds.
+        Tokens that each turn adds to the prompt.
+    turns : int
+        Prompts of each context.
+    answer_tokens : int
+        Tokens of each answer.
+    seconds : float
+        The length of the trace.
+    rushes : tuple
+        The start of each period of high load, in seconds, and its declared event.
+    call_account, call_pool : str
+        The account that sends the calls, and the service pool that they use.
+    calls : int
+        The number of calls.
     """
 
     model: str
@@ -109,10 +132,10 @@
 
 
 def make(shape, seed):
-    """Return the arrivals of a made trace, in their order.
+    """Return the arrivals of a generated trace, in order of time.
 
-    Half of a context's turns fall into the minutes after a rush begins, the
-    others anywhere, so that contexts return after gaps of minutes to hours.
+    About half of the prompts arrive in the minutes after a rush starts, the others at
+    any time, so that contexts return after gaps of minutes to hours.
     """
     source = random.Random(seed)
     arrivals = []
@@ -163,7 +186,7 @@
 
 
 def text(arrival):
-    """Return the prompt of an arrival; a later turn begins with an earlier's."""
+    """Return the text of a prompt; it starts with the text of each earlier turn."""
     size = arrival.prompt_tokens * _BYTES_PER_TOKEN
     words = []
     length = 0
@@ -177,7 +200,7 @@
 
 
 def never_seen_tokens(arrivals):
-    """Return the tokens of each prompt that no earlier one of its context had."""
+    """Return how many tokens of each prompt no earlier one of its context had."""
     seen = {}
     fresh = []
     for arrival in arrivals:
@@ -191,12 +214,12 @@
 
 
 def write(path, arrivals):
-    """Write arrivals as JSON lines."""
+    """Write arrivals to a file as lines of JSON."""
     lines = (json.dumps(dataclasses.asdict(item)) for item in arrivals)
     path.write_text("\n".join(lines) + "\n", "utf-8")
 
 
 def read(path):
-    """Return the arrivals of a file of JSON lines."""
+    """Return the arrivals from a file of lines of JSON."""
     lines = path.read_text("utf-8").splitlines()
     return [Arrival(**json.loads(line)) for line in lines if line]
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that all tests share: a loop, and fleets of real processes."""
+"""Fixtures that all tests share: an event loop, and fleets of real processes."""
 
 import asyncio
 import pathlib
@@ -13,26 +13,26 @@
 
 @pytest.fixture(scope="session")
 def loop_runner():
-    """Give the one loop that the tests' own coroutines run on."""
+    """Provide the event loop that runs the coroutines of all tests."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         yield runner
 
 
 @pytest.fixture
 def go(loop_runner):
-    """Give the function that runs a coroutine to its end."""
+    """Provide a function that runs a coroutine to its end and returns its result."""
     return loop_runner.run
 
 
 @pytest.fixture
 def seen():
-    """Give what the steps of a scenario pass on to each other."""
+    """Provide a dictionary in which the steps of a scenario pass values on."""
     return {}
 
 
 @pytest.fixture(scope="session")
 def shared_fleet(loop_runner, tmp_path_factory):
-    """Give one fleet to all tests that do it no harm."""
+    """Provide one fleet, shared by all tests that do not disturb it."""
     plan = fleet.Plan(
         example=ROOT / "examples" / "umoja", folder=tmp_path_factory.mktemp("shared")
     )
@@ -44,7 +44,7 @@
 
 @pytest.fixture(scope="module")
 def start_fleet(loop_runner, tmp_path_factory):
-    """Give a function that starts a fleet, which ends with the module."""
+    """Provide a function that starts a fleet, which is stopped after the module."""
     started = []
 
     def start(example="umoja", **changed):
--- a/tests/paths/test_whole_path.py
+++ b/tests/paths/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path, through real processes."""
+"""Scenarios of whole_path.feature, run on a fleet of real processes."""
 
 import json
 import shutil
