--- a/packages/lab/sesamespindle/lab/capacity.py
+++ b/packages/lab/sesamespindle/lab/capacity.py
@@ -81,14 +81,14 @@
             f"Measuring the decision logic: {size.entries} entries, "
             f"{size.targets} targets."
         )
-        bench = slopes.Bench(size)
+        benchmark = slopes.DecisionBenchmark(size)
         rows.append(
             (
                 size,
-                bench.prompt_cost(),
-                bench.tick_cost(),
-                bench.owner_cost(),
-                bench.gossip_cost(),
+                benchmark.prompt_cost(),
+                benchmark.tick_cost(),
+                benchmark.slice_cost(),
+                benchmark.gossip_cost(),
             )
         )
     return rows
@@ -99,17 +99,19 @@
     rows = []
     for size in SIZES:
         show(f"Measuring the memory of all tables: {size.accounts} accounts.")
-        size_bytes = slopes.bytes_of(lambda size=size: slopes.Bench(size))
+        size_bytes = slopes.allocated_bytes(
+            lambda size=size: slopes.DecisionBenchmark(size)
+        )
         rows.append(
             (f"all tables at {size.entries} entries", size.accounts, size_bytes)
         )
     for count in (1_000, 5_000, 20_000):
         show(f"Measuring the memory of {count} contexts.")
-        size_bytes = slopes.bytes_of(lambda count=count: _fill_contexts(count))
+        size_bytes = slopes.allocated_bytes(lambda count=count: _fill_contexts(count))
         rows.append(("contexts", count, size_bytes))
     for count in (100, 1_000, 10_000):
         show(f"Measuring the memory of {count} idempotency keys.")
-        size_bytes = slopes.bytes_of(lambda count=count: _fill_keys(count))
+        size_bytes = slopes.allocated_bytes(lambda count=count: _fill_keys(count))
         rows.append(("keys with an answer of 1 KB", count, size_bytes))
     return rows
 
@@ -189,9 +191,9 @@
 
 
 def _fill_keys(count):
-    bench = slopes.Bench(SIZES[0])
-    table = bench.core.calls
-    now = bench.now
+    benchmark = slopes.DecisionBenchmark(SIZES[0])
+    table = benchmark.core.calls
+    now = benchmark.now
     for number in range(count):
         event = events.CallArrived(
             f"r{number}", "account-0", "bookings", now, events.KeyKind.TICKET,
@@ -204,7 +206,7 @@
             ),
             now,
         )
-    return bench
+    return benchmark
 
 
 def _cpu_seconds(process):
@@ -218,11 +220,11 @@
         "| gossip round, us | gossip round, bytes |",
         "| --- | --- | --- | --- | --- | --- | --- | --- |",
     ]
-    for size, prompt, tick, owner, gossip in logic:
+    for size, prompt, tick, slice_request, gossip in logic:
         lines.append(
             f"| {size.entries} | {size.targets} | {size.accounts} "
             f"| {prompt.microseconds:.0f} | {tick.microseconds:.0f} "
-            f"| {owner.microseconds:.0f} | {gossip.microseconds:.0f} "
+            f"| {slice_request.microseconds:.0f} | {gossip.microseconds:.0f} "
             f"| {gossip.message_bytes:.0f} |"
         )
     return "\n".join(lines)
@@ -253,19 +255,19 @@
 
 def _target_table(logic, memory, live):
     """Return the table of a daemon's control work and state at the target size."""
-    _, prompt, tick, owner, gossip = logic[-1]
+    _, prompt, tick, slice_request, gossip = logic[-1]
     accounts_here = TARGET.accounts * ENTRIES_PER_ACCOUNT / TARGET.entries
     # An account has a slice of each of two resources, prompts and calls.
     asks = accounts_here * 2 * RENEWALS
     # Each daemon takes part in the rounds that it starts and in as many that its
     # peers start. The cost of a round already includes the work of both daemons.
     gossip_bytes = GOSSIP_ROUNDS * 2 * (gossip.message_bytes + 2 * _RPC_OVERHEAD_BYTES)
-    slice_bytes = 2 * asks * (owner.message_bytes + 2 * _RPC_OVERHEAD_BYTES)
+    slice_bytes = 2 * asks * (slice_request.message_bytes + 2 * _RPC_OVERHEAD_BYTES)
     gossip_share = GOSSIP_ROUNDS * gossip.microseconds / 1e6
     parts = [
         ("gossip member", gossip_share, gossip_bytes),
         ("ticks of all systems", TICKS * tick.microseconds / 1e6, 0.0),
-        ("account owner and slice holder", 2 * asks * owner.microseconds / 1e6,
+        ("account owner and slice holder", 2 * asks * slice_request.microseconds / 1e6,
          slice_bytes),
     ]  # fmt: skip
     lines = [
--- a/packages/lab/sesamespindle/lab/engine.py
+++ b/packages/lab/sesamespindle/lab/engine.py
@@ -233,7 +233,7 @@
                 await asyncio.sleep(self._model.decode_interval)
             for piece in pieces:
                 if self._faults["cut_after_pieces"] and self._cut_is_due(piece):
-                    await standin.until_cut(request.transport)
+                    await standin.abort_connection(request.transport)
                     return
                 await _write_event(response, piece)
                 after = max(after, piece["sequence"])
@@ -259,12 +259,12 @@
     def _cut_is_due(self, piece):
         if piece["sequence"] < self._faults["cut_after_pieces"]:
             return False
-        return self._faults.take("cut_after_pieces")
+        return self._faults.consume("cut_after_pieces")
 
     def _pieces_with_faults(self, stream, after):
         """Return the next pieces to send, changed by the active faults."""
         pieces = stream.pieces_after(after)
-        if pieces and pieces[-1]["last"] and self._faults.take("hide_end_mark"):
+        if pieces and pieces[-1]["last"] and self._faults.consume("hide_end_mark"):
             pieces.pop()
         if self._faults["shuffle_pieces"]:
             if len(pieces) < _SHUFFLED_PIECES and not stream.done:
@@ -284,7 +284,7 @@
             _, _, stream = heapq.heappop(self._waiting)
             if stream.cancelled:
                 continue
-            await self._faults.held("hold_prompts")
+            await self._faults.wait_while_set("hold_prompts")
             if self._faults["delay"]:
                 await asyncio.sleep(self._faults["delay"])
             stream.start_event = await self._prefill(stream)
--- a/packages/lab/sesamespindle/lab/fleet.py
+++ b/packages/lab/sesamespindle/lab/fleet.py
@@ -209,7 +209,7 @@
         output, _ = await child.communicate()
         return child.returncode, output.decode()
 
-    async def start_entry(self, name, data_centre, **changed):
+    async def start_entry(self, name, data_centre, **overrides):
         """Start a daemon and add it to the platform's host list.
 
         Keyword arguments override the settings of the plan for this daemon.
@@ -220,7 +220,7 @@
             "data_centre": data_centre,
             "platform_url": self._platform_url_for_daemons(),
             **self.plan.settings,
-            **changed,
+            **overrides,
         }
         path.write_text(yaml.safe_dump(values), "utf-8")
         secrets = {
--- a/packages/lab/sesamespindle/lab/measures.py
+++ b/packages/lab/sesamespindle/lab/measures.py
@@ -82,7 +82,7 @@
         account or run.name,
         len(prompts),
         len(answered),
-        sum(item.tries for item in prompts) - len(prompts),
+        sum(item.attempts for item in prompts) - len(prompts),
         times.get_value_at_percentile(50),
         times.get_value_at_percentile(95),
         times.get_value_at_percentile(99),
--- a/packages/lab/sesamespindle/lab/platform.py
+++ b/packages/lab/sesamespindle/lab/platform.py
@@ -98,7 +98,7 @@
         if request.path in ("/faults", "/counts") or request.path.startswith("/hosts/"):
             return await handler(request)
         if self._faults["away"]:
-            await standin.until_cut(request.transport)
+            await standin.abort_connection(request.transport)
             raise aiohttp.web.HTTPServiceUnavailable
         if self._faults["delay"]:
             await asyncio.sleep(self._faults["delay"])
@@ -110,9 +110,9 @@
         response = await handler(request)
         if request.path.startswith("/objects/claims/") and request.method == "PUT":
             self._count_by_call["claims"] += 1
-            await self._faults.held("hold_claims")
-        if request.method == "PUT" and self._faults.take("lose_answers"):
-            await standin.until_cut(request.transport)
+            await self._faults.wait_while_set("hold_claims")
+        if request.method == "PUT" and self._faults.consume("lose_answers"):
+            await standin.abort_connection(request.transport)
         return response
 
     async def _get(self, request):
--- a/packages/lab/sesamespindle/lab/proxy.py
+++ b/packages/lab/sesamespindle/lab/proxy.py
@@ -69,14 +69,14 @@
         await self._stop_listening()
         self._abort_all()
 
-    async def serve(self, stop_asked):
+    async def serve(self, stop_event):
         """Serve until an event is set; print the two URLs as lines of JSON.
 
         The first line has the URL of the proxy, the second that of the faults.
         """
         async with self:
             print(json.dumps({"proxy_url": f"http://{self.address}"}), flush=True)
-            await standin.serve(self.application(), 0, stop_asked)
+            await standin.serve(self.application(), 0, stop_event)
 
     async def _start_listening(self):
         """Accept connections, at the same port as before if there was one."""
--- a/packages/lab/sesamespindle/lab/replay.py
+++ b/packages/lab/sesamespindle/lab/replay.py
@@ -7,7 +7,7 @@
 from sesamespindle.lab import caller, fleet, traces
 
 _LINK_SAMPLE_SECONDS = 0.5
-_MOST_TRIES = 4
+_MAX_ATTEMPTS = 4
 
 
 @dataclasses.dataclass
@@ -41,7 +41,7 @@
     never_seen_tokens: int
     answered: bool = False
     code: str = ""
-    tries: int = 0
+    attempts: int = 0
     first_token_seconds: float = 0.0
     reused_tokens: int = 0
     imported_tokens: int = 0
@@ -116,76 +116,76 @@
         self._link_rate = link_bytes_per_second
         self._links = []
         self._entries_by_account = {}
-        self._callers = {}
+        self._client_by_account = {}
 
     async def run(self, name, show):
         """Replay the trace and return the results as a `Run`."""
         for account in sorted({item.account for item in self._arrivals}):
-            await self._meet(account)
-        fresh = traces.never_seen_tokens(self._arrivals)
+            await self._fetch_entries(account)
+        never_seen_tokens = traces.never_seen_tokens(self._arrivals)
         outcomes = [
             Outcome(arrival, tokens)
-            for arrival, tokens in zip(self._arrivals, fresh, strict=True)
+            for arrival, tokens in zip(self._arrivals, never_seen_tokens, strict=True)
         ]
         before = await self._received()
-        begun = time.monotonic()
-        sampling = asyncio.create_task(self._sample_links(begun))
+        started_at = time.monotonic()
+        sampling = asyncio.create_task(self._sample_links(started_at))
         try:
             async with asyncio.TaskGroup() as group:
                 for number, outcome in enumerate(outcomes):
-                    due = begun + outcome.arrival.at / self._speed
-                    await asyncio.sleep(max(0.0, due - time.monotonic()))
-                    group.create_task(self._send(outcome, due))
+                    due_at = started_at + outcome.arrival.at / self._speed
+                    await asyncio.sleep(max(0.0, due_at - time.monotonic()))
+                    group.create_task(self._send(outcome, due_at))
                     if number % 100 == 99:
                         show(f"{name}: {number + 1} of {len(outcomes)} sent.")
         finally:
             sampling.cancel()
         received = await self._received() - before
-        seconds = time.monotonic() - begun
+        seconds = time.monotonic() - started_at
         return Run(name, outcomes, self._links, received, seconds)
 
-    async def _meet(self, account):
+    async def _fetch_entries(self, account):
         """Fetch the account's list of entries, as its callers do."""
-        made = caller.Caller(self._running.session, fleet.demo_key(account))
+        client = caller.Caller(self._running.session, fleet.demo_key(account))
         url = self._running.url(self._running.entry_names[0])
-        reply = await made.get(f"{url}/v1/entries")
-        self._callers[account] = made
+        reply = await client.get(f"{url}/v1/entries")
+        self._client_by_account[account] = client
         self._entries_by_account[account] = [
             entry["url"] for entry in reply.value["entries"]
         ]
 
-    async def _send(self, outcome, due):
-        outcome.late_seconds = time.monotonic() - due
-        begun = time.monotonic()
-        while not outcome.answered and outcome.tries < _MOST_TRIES:
-            outcome.tries += 1
-            wait = await self._try(outcome, begun)
+    async def _send(self, outcome, due_at):
+        outcome.late_seconds = time.monotonic() - due_at
+        started_at = time.monotonic()
+        while not outcome.answered and outcome.attempts < _MAX_ATTEMPTS:
+            outcome.attempts += 1
+            wait = await self._send_once(outcome, started_at)
             await asyncio.sleep(wait)
 
-    async def _try(self, outcome, begun):
+    async def _send_once(self, outcome, started_at):
         """Send one attempt; return the seconds to wait before the next one."""
         arrival = outcome.arrival
-        made = self._callers[arrival.account]
+        client = self._client_by_account[arrival.account]
         url = self._entries_by_account[arrival.account][0]
         if arrival.kind == "call":
-            ticket = await made.ticket(url)
+            ticket = await client.ticket(url)
             body = {"reference": arrival.context}
-            reply = await made.call(url, arrival.target, "confirm", body, ticket)
+            reply = await client.call(url, arrival.target, "confirm", body, ticket)
             outcome.answered = reply.status == 200
-            outcome.first_token_seconds = time.monotonic() - begun
+            outcome.first_token_seconds = time.monotonic() - started_at
             return 0.0
-        streamed = await made.stream(
+        streamed = await client.stream(
             url, arrival.target, traces.text(arrival), arrival.answer_tokens
         )
         if streamed.refusal is not None:
             outcome.code = streamed.refusal.code
             return streamed.refusal.value["error"]["retry_after"] or 0.0
         outcome.answered = streamed.whole
-        waited_before = time.monotonic() - begun
+        seconds_to_end = time.monotonic() - started_at
         outcome.first_token_seconds = streamed.first_token_seconds
-        if outcome.tries > 1:
-            outcome.first_token_seconds = waited_before
-        _note_usage(outcome, streamed)
+        if outcome.attempts > 1:
+            outcome.first_token_seconds = seconds_to_end
+        _record_usage(outcome, streamed)
         return 0.0
 
     async def _received(self):
@@ -193,28 +193,28 @@
         counts = [await self._running.counts(name) for name in names]
         return sum(count.get("received", 0) for count in counts)
 
-    async def _sample_links(self, begun):
+    async def _sample_links(self, started_at):
         names = self._running.names_of("store_host")
-        used = {name: await self._link_bytes(name) for name in names}
+        used_before = {name: await self._link_bytes(name) for name in names}
         while True:
             await asyncio.sleep(_LINK_SAMPLE_SECONDS)
             for name in names:
-                now_used = await self._link_bytes(name)
-                share = (now_used - used[name]) / (
+                used_now = await self._link_bytes(name)
+                share = (used_now - used_before[name]) / (
                     self._link_rate * _LINK_SAMPLE_SECONDS
                 )
-                used[name] = now_used
-                at = time.monotonic() - begun
+                used_before[name] = used_now
+                at = time.monotonic() - started_at
                 self._links.append(LinkSample(name, at, share))
 
     async def _link_bytes(self, name):
         return (await self._running.counts(name)).get("link_bytes", 0)
 
 
-def _note_usage(outcome, streamed):
+def _record_usage(outcome, streamed):
     details = streamed.usage.get("prompt_tokens_details", {})
     outcome.imported_tokens = details.get("imported_tokens", 0)
     outcome.reused_tokens = details.get("cached_tokens", 0) - outcome.imported_tokens
-    ready = details.get("cached_tokens", 0)
-    outcome.computed_tokens = max(0, outcome.arrival.prompt_tokens - ready)
+    cached_tokens = details.get("cached_tokens", 0)
+    outcome.computed_tokens = max(0, outcome.arrival.prompt_tokens - cached_tokens)
     outcome.target = streamed.target
--- a/packages/lab/sesamespindle/lab/report.py
+++ b/packages/lab/sesamespindle/lab/report.py
@@ -61,7 +61,7 @@
     return _PAGE.format(
         title=html.escape(title),
         summaries=_html_table(_HEADINGS, [_cells(item) for item in summaries]),
-        judged=_judged(judged),
+        judged=_outcome_list(judged),
         percentiles=_percentile_plot(runs),
         links=_link_plot(runs[-1]),
         accounts=_html_table(_HEADINGS, [_cells(item) for item in by_account]),
@@ -97,7 +97,7 @@
     return f"<table><tr>{head}</tr>{body}</table>"
 
 
-def _judged(judged):
+def _outcome_list(judged):
     rows = [
         f"<li{'' if held else ' class=missed'}>{html.escape(item['name'])}: "
         f"{measured:.2f}, {'held' if held else 'missed'}</li>"
@@ -109,12 +109,12 @@
 def _percentile_plot(runs):
     series = []
     for run in runs:
-        made = measures.histogram(
+        time_histogram = measures.histogram(
             item.first_token_seconds
             for item in run.outcomes
             if item.answered and item.arrival.kind == "prompt"
         )
-        values = [made.get_value_at_percentile(at) for at in _PERCENTILES]
+        values = [time_histogram.get_value_at_percentile(at) for at in _PERCENTILES]
         series.append((run.name, list(enumerate(values))))
     return _plot(series, "ms, at percentiles " + ", ".join(map(str, _PERCENTILES)))
 
@@ -139,14 +139,14 @@
     points = [point for _, line in series for point in line]
     if not points:
         return "<p>No data to plot.</p>"
-    most_x = max(x for x, _ in points) or 1
-    most_y = max(y for _, y in points) or 1
+    max_x = max(x for x, _ in points) or 1
+    max_y = max(y for _, y in points) or 1
     lines = []
     for index, (name, line) in enumerate(series):
         colour = _COLOURS[index % len(_COLOURS)]
         path = " ".join(
-            f"{40 + x / most_x * (_WIDTH - 60):.1f},"
-            f"{_HEIGHT - 20 - y / most_y * (_HEIGHT - 40):.1f}"
+            f"{40 + x / max_x * (_WIDTH - 60):.1f},"
+            f"{_HEIGHT - 20 - y / max_y * (_HEIGHT - 40):.1f}"
             for x, y in line
         )
         lines.append(
@@ -156,5 +156,5 @@
         )
     return (
         f'<svg width="{_WIDTH}" height="{_HEIGHT}">{"".join(lines)}'
-        f'<text x="0" y="14">{most_y:.0f}</text></svg><p>{html.escape(label)}</p>'
+        f'<text x="0" y="14">{max_y:.0f}</text></svg><p>{html.escape(label)}</p>'
     )
--- a/packages/lab/sesamespindle/lab/service.py
+++ b/packages/lab/sesamespindle/lab/service.py
@@ -32,38 +32,38 @@
         """Return the aiohttp application."""
         application = aiohttp.web.Application()
         route = application.router
-        route.add_get("/counts", self._counts)
+        route.add_get("/counts", self._show_counts)
         self._faults.add_route(application)
-        route.add_route("*", "/{path:.*}", self._run)
+        route.add_route("*", "/{path:.*}", self._run_call)
         return application
 
-    async def _run(self, request):
+    async def _run_call(self, request):
         self._received += 1
-        if self._faults.take("cut_before"):
-            await standin.until_cut(request.transport)
+        if self._faults.consume("cut_before"):
+            await standin.abort_connection(request.transport)
             raise aiohttp.web.HTTPServiceUnavailable
         body = await request.json() if request.can_read_body else {}
         reference = str(body.get("reference", request.path))
         self._runs_by_reference[reference] += 1
-        run = self._runs_by_reference[reference]
-        await self._faults.held("hold")
+        run_number = self._runs_by_reference[reference]
+        await self._faults.wait_while_set("hold")
         if self._faults["delay"]:
             await asyncio.sleep(self._faults["delay"])
-        if self._faults.take("cut_after"):
-            await standin.until_cut(request.transport)
-        value = {"reference": reference, "run": run, "path": request.path}
-        if self._faults.take("cut_inside"):
-            return await self._half_answer(request)
+        if self._faults.consume("cut_after"):
+            await standin.abort_connection(request.transport)
+        value = {"reference": reference, "run": run_number, "path": request.path}
+        if self._faults.consume("cut_inside"):
+            return await self._send_truncated_answer(request)
         return aiohttp.web.json_response(value, status=self._faults["status"])
 
-    async def _half_answer(self, request):
+    async def _send_truncated_answer(self, request):
         response = aiohttp.web.StreamResponse(headers={"Content-Length": "1000"})
         await response.prepare(request)
         await response.write(b'{"reference":')
-        await standin.until_cut(request.transport)
+        await standin.abort_connection(request.transport)
         return response
 
-    async def _counts(self, request):
+    async def _show_counts(self, request):
         return aiohttp.web.json_response(
             {"received": self._received, "runs": dict(self._runs_by_reference)}
         )
--- a/packages/lab/sesamespindle/lab/slopes.py
+++ b/packages/lab/sesamespindle/lab/slopes.py
@@ -51,7 +51,7 @@
     message_bytes: float = 0.0
 
 
-class Bench:
+class DecisionBenchmark:
     """The decision logic of one daemon, filled with a fleet of a given size."""
 
     def __init__(self, size):
@@ -59,24 +59,24 @@
         self.now = _START
         self.me = _entry(0, size)
         self.core = core.Core(self.me, seed=1)
-        self.feed(events.DeclarationsAdopted(1, declarations(size)))
-        self.feed(events.HostsListed(_hosts(size)))
+        self.step(events.DeclarationsAdopted(1, declarations(size)))
+        self.step(events.HostsListed(_hosts(size)))
         members = tuple(
             _member(number, size, heartbeat=1) for number in range(1, size.entries)
         )
-        self.feed(
+        self.step(
             gossip.GossipAnswered(
                 "peer", gossip.GossipMessage("entry-1", "dc-1", members=members)
             )
         )
 
-    def feed(self, *happened):
+    def step(self, *new_events):
         """Run one step of the logic on events; return the commands it gives."""
-        return self.core.step(self.now, happened)
+        return self.core.step(self.now, new_events)
 
     def prompt_cost(self):
         """Return the `Cost` of one prompt, from its arrival to its end."""
-        self._grant_everything()
+        self._grant_slices()
         return Cost(_microseconds(self._run_prompt, 400))
 
     def gossip_cost(self):
@@ -84,18 +84,18 @@
 
         It includes the work of both daemons.
         """
-        peer = Bench.__new__(Bench)
+        peer = DecisionBenchmark.__new__(DecisionBenchmark)
         peer.__init__(self.size)
         sizes = []
 
         def run():
             self.now += datetime.timedelta(milliseconds=500)
             peer.now = self.now
-            sent = self.core.membership
-            sent.spread(self.now)
+            membership = self.core.membership
+            membership.spread(self.now)
             for command in self.core.state.take_commands():
                 if isinstance(command, commands.GossipTo):
-                    sizes.append(self._answer(peer, command))
+                    sizes.append(self._exchange_gossip(peer, command))
                     return
 
         cost = _microseconds(run, 40)
@@ -103,59 +103,59 @@
 
     def tick_cost(self):
         """Return the `Cost` of one tick between gossip rounds."""
-        self._grant_everything()
-        self.feed(events.Tick())
+        self._grant_slices()
+        self.step(events.Tick())
 
         def run():
-            self.feed(events.Tick())
+            self.step(events.Tick())
 
         return Cost(_microseconds(run, 100))
 
-    def owner_cost(self):
+    def slice_cost(self):
         """Return the `Cost` of a slice request and its grant at the account's owner."""
-        mine = [
+        owned_accounts = [
             row.name
             for row in self.core.state.accounts
             if self.core.state.owner(row.name).name == self.me.name
         ]
-        account = mine[0] if mine else "account-0"
-        numbers = iter(range(1, 1_000_000))
+        account = owned_accounts[0] if owned_accounts else "account-0"
+        request_numbers = iter(range(1, 1_000_000))
         holders = [f"entry-{number}" for number in range(1, 4)]
         for holder in holders:
-            self._ask(account, holder, next(numbers))
+            self._request_slice(account, holder, next(request_numbers))
         for name in holders + [f"entry-{n}" for n in range(self.size.entries)]:
-            self.feed(events.HoldingsTold(name, 1, (account,), (), True))
+            self.step(events.HoldingsTold(name, 1, (account,), (), True))
 
         def run():
-            number = next(numbers)
-            self._ask(account, holders[number % 3], number)
+            number = next(request_numbers)
+            self._request_slice(account, holders[number % 3], number)
 
         ask = events.SliceAsk(account, events.Resource.PROMPTS, 1, 2, 2, 1)
         size = sum(item.ByteSize() for item in peermessages.asks_to_wire([ask]))
         return Cost(_microseconds(run, 300), 2.0 * size)
 
-    def _ask(self, account, holder, number):
+    def _request_slice(self, account, holder, number):
         ask = events.SliceAsk(account, events.Resource.PROMPTS, 1, 2, 2, 1)
-        self.feed(events.SlicesAsked(str(number), holder, 1, number, (ask,)))
+        self.step(events.SlicesAsked(str(number), holder, 1, number, (ask,)))
 
-    def _answer(self, peer, command):
+    def _exchange_gossip(self, peer, command):
         """Deliver a gossip message to a peer and the replies back; return the bytes."""
         size = peermessages.gossip_to_wire(command.message, 1, self.now).ByteSize()
-        for reply in peer.feed(gossip.GossipReceived("x", command.message)):
+        for reply in peer.step(gossip.GossipReceived("x", command.message)):
             if isinstance(reply, commands.GossipReply):
                 size += peermessages.gossip_to_wire(
                     reply.message, 1, self.now
                 ).ByteSize()
-                self.feed(gossip.GossipAnswered("peer", reply.message))
+                self.step(gossip.GossipAnswered("peer", reply.message))
         return size
 
-    def _grant_everything(self):
+    def _grant_slices(self):
         for index in range(min(self.size.accounts, 15)):
             name = f"account-{index}"
             resource = events.Resource.PROMPTS
             self.core.slices.need(name, resource, self.now)
             grant = events.SliceGrant(name, resource, 50, 1)
-            self.feed(events.SlicesGranted(self.now, (), (grant,)))
+            self.step(events.SlicesGranted(self.now, (), (grant,)))
 
     def _run_prompt(self):
         request_id = f"r{self.core.state.random.random()}"
@@ -169,11 +169,11 @@
             100,
             self.now + datetime.timedelta(minutes=1),
         )
-        for command in self.feed(arrival):
+        for command in self.step(arrival):
             if isinstance(command, commands.SendPrompt):
                 attempt = command.attempt
-                self.feed(events.FirstToken(request_id, 0, _TOKENS))
-                self.feed(
+                self.step(events.FirstToken(request_id, 0, _TOKENS))
+                self.step(
                     events.AttemptEnded(request_id, attempt, events.Ending.COMPLETED)
                 )
 
@@ -206,16 +206,16 @@
     )
 
 
-def bytes_of(make):
+def allocated_bytes(make):
     """Return the memory, in bytes, allocated by the result of `make()`."""
     gc.collect()
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
-    made = make()
+    result = make()
     gc.collect()
     after, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    del made
+    del result
     return after - before
 
 
@@ -223,10 +223,10 @@
     """Return the processor time of one run, as the median of several series."""
     series = []
     for _ in range(_REPEATS):
-        begun = time.process_time()
+        started_at = time.process_time()
         for _ in range(count):
             run()
-        series.append((time.process_time() - begun) / count * 1e6)
+        series.append((time.process_time() - started_at) / count * 1e6)
     return statistics.median(series)
 
 
--- a/packages/lab/sesamespindle/lab/standin.py
+++ b/packages/lab/sesamespindle/lab/standin.py
@@ -6,7 +6,7 @@
 
 import aiohttp.web
 
-_HOLD_STEP_SECONDS = 0.005
+_HOLD_POLL_SECONDS = 0.005
 
 
 class Faults:
@@ -25,51 +25,51 @@
     def __getitem__(self, name):
         return self._value_by_name[name]
 
-    def take(self, name):
+    def consume(self, name):
         """Return whether a counted fault applies now; if so, count it down by one."""
         if self._value_by_name[name] <= 0:
             return False
         self._value_by_name[name] -= 1
         return True
 
-    async def held(self, name):
+    async def wait_while_set(self, name):
         """Wait until a fault that holds back answers is switched off."""
         while self._value_by_name[name]:
-            await asyncio.sleep(_HOLD_STEP_SECONDS)
+            await asyncio.sleep(_HOLD_POLL_SECONDS)
 
     def add_route(self, application):
         """Add the route through which faults are set."""
-        application.router.add_post("/faults", self._switch)
+        application.router.add_post("/faults", self._set_faults)
 
-    async def _switch(self, request):
-        wanted = await request.json()
-        unknown = sorted(wanted.keys() - self._defaults.keys())
+    async def _set_faults(self, request):
+        new_values = await request.json()
+        unknown = sorted(new_values.keys() - self._defaults.keys())
         if unknown:
             return aiohttp.web.json_response(
                 {"error": f"unknown faults: {', '.join(unknown)}"}, status=400
             )
-        self._value_by_name.update(wanted)
+        self._value_by_name.update(new_values)
         return aiohttp.web.json_response(self._value_by_name)
 
 
-async def serve(application, port, stop_asked):
-    """Serve an application on loopback until the event `stop_asked` is set.
+async def serve(application, port, stop_event):
+    """Serve an application on loopback until the event `stop_event` is set.
 
     Print the URL as one line of JSON once it listens. Port 0 takes a free port.
     """
-    listening = socket.create_server(("127.0.0.1", port), backlog=1024)
+    listening_socket = socket.create_server(("127.0.0.1", port), backlog=1024)
     runner = aiohttp.web.AppRunner(
         application, access_log=None, shutdown_timeout=0.1, handler_cancellation=True
     )
     await runner.setup()
-    await aiohttp.web.SockSite(runner, listening, backlog=1024).start()
-    host, bound = listening.getsockname()
-    print(json.dumps({"url": f"http://{host}:{bound}"}), flush=True)
-    await stop_asked.wait()
+    await aiohttp.web.SockSite(runner, listening_socket, backlog=1024).start()
+    host, bound_port = listening_socket.getsockname()
+    print(json.dumps({"url": f"http://{host}:{bound_port}"}), flush=True)
+    await stop_event.wait()
     await runner.cleanup()
 
 
-async def until_cut(transport):
+async def abort_connection(transport):
     """Abort a connection without an answer, as if the host died."""
     if transport is not None:
         transport.abort()
--- a/packages/lab/sesamespindle/lab/store_host.py
+++ b/packages/lab/sesamespindle/lab/store_host.py
@@ -50,7 +50,7 @@
         self._link = asyncio.Lock()
         self._segment_by_name = collections.OrderedDict()
         self._segment_by_block = {}
-        self._names = itertools.count(1)
+        self._segment_numbers = itertools.count(1)
         self._counts = collections.Counter()
         self._faults = standin.Faults(
             full=False, corrupt=False, truncate=False, link_factor=1.0
@@ -60,25 +60,25 @@
         """Return the aiohttp application."""
         application = aiohttp.web.Application(client_max_size=64_000_000)
         route = application.router
-        route.add_post("/segments", self._begin)
-        route.add_put("/segments/{name}/data", self._write)
+        route.add_post("/segments", self._create_segment)
+        route.add_put("/segments/{name}/data", self._write_data)
         route.add_post("/segments/{name}/commit", self._commit)
-        route.add_get("/segments/{name}/data", self._read)
+        route.add_get("/segments/{name}/data", self._read_data)
         route.add_post("/lookup", self._lookup)
         route.add_get("/counts", self._show_counts)
         self._faults.add_route(application)
         return application
 
-    async def _begin(self, request):
+    async def _create_segment(self, request):
         ids = (await request.json())["ids"]
         if self._faults["full"]:
             return aiohttp.web.json_response({"error": "full"}, status=507)
-        self._make_room(len(ids))
-        segment = Segment(f"segment-{next(self._names)}", ids)
+        self._free_capacity(len(ids))
+        segment = Segment(f"segment-{next(self._segment_numbers)}", ids)
         self._segment_by_name[segment.name] = segment
         return aiohttp.web.json_response({"name": segment.name})
 
-    async def _write(self, request):
+    async def _write_data(self, request):
         segment = self._segment_by_name.get(request.match_info["name"])
         if segment is None:
             raise aiohttp.web.HTTPNotFound
@@ -132,7 +132,7 @@
             }
         )
 
-    async def _read(self, request):
+    async def _read_data(self, request):
         segment = self._segment_by_name.get(request.match_info["name"])
         if segment is None:
             raise aiohttp.web.HTTPNotFound
@@ -153,7 +153,7 @@
             await asyncio.sleep(size / self._rate * self._faults["link_factor"])
         self._counts["link_bytes"] += size
 
-    def _make_room(self, blocks):
+    def _free_capacity(self, blocks):
         used = sum(len(segment.ids) for segment in self._segment_by_name.values())
         while used + blocks > self._capacity and self._segment_by_name:
             _, oldest = self._segment_by_name.popitem(last=False)
--- a/packages/lab/sesamespindle/lab/traces.py
+++ b/packages/lab/sesamespindle/lab/traces.py
@@ -5,8 +5,8 @@
 import random
 
 _BYTES_PER_TOKEN = 4
-# Mean delay of a prompt after the start of its rush, a period of high load.
-_RUSH_SECONDS = 900.0
+# Mean delay, in seconds, of a prompt after the start of its rush (a high load).
+_MEAN_RUSH_DELAY = 900.0
 
 
 @dataclasses.dataclass(frozen=True)
@@ -137,15 +137,15 @@
     About half of the prompts arrive in the minutes after a rush starts, the others at
     any time, so that contexts return after gaps of minutes to hours.
     """
-    source = random.Random(seed)
+    generator = random.Random(seed)
     arrivals = []
     names = list(shape.accounts)
     weights = list(shape.accounts.values())
     for number in range(shape.contexts):
-        (account,) = source.choices(names, weights)
-        arrivals += _turns(shape, source, f"context-{number}", account)
+        (account,) = generator.choices(names, weights)
+        arrivals += _turns(shape, generator, f"context-{number}", account)
     for number in range(shape.calls):
-        at = source.uniform(0, shape.seconds)
+        at = generator.uniform(0, shape.seconds)
         arrivals.append(
             Arrival(
                 at,
@@ -161,9 +161,9 @@
     return sorted(arrivals, key=lambda item: item.at)
 
 
-def _turns(shape, source, context, account):
-    base = source.randint(*shape.context_tokens)
-    times = [_time(shape, source) for _ in range(shape.turns)]
+def _turns(shape, generator, context, account):
+    base_tokens = generator.randint(*shape.context_tokens)
+    times = [_arrival_time(shape, generator) for _ in range(shape.turns)]
     for turn, (at, event) in enumerate(sorted(times), start=1):
         yield Arrival(
             at,
@@ -172,17 +172,17 @@
             shape.model,
             context,
             turn,
-            base + turn * shape.turn_tokens,
+            base_tokens + turn * shape.turn_tokens,
             shape.answer_tokens,
             event,
         )
 
 
-def _time(shape, source):
-    if source.random() < 0.5:
-        begins, event = source.choice(shape.rushes)
-        return begins + source.expovariate(1 / _RUSH_SECONDS), event
-    return source.uniform(0, shape.seconds), ""
+def _arrival_time(shape, generator):
+    if generator.random() < 0.5:
+        rush_start, event = generator.choice(shape.rushes)
+        return rush_start + generator.expovariate(1 / _MEAN_RUSH_DELAY), event
+    return generator.uniform(0, shape.seconds), ""
 
 
 def text(arrival):
@@ -201,16 +201,16 @@
 
 def never_seen_tokens(arrivals):
     """Return how many tokens of each prompt no earlier one of its context had."""
-    seen = {}
-    fresh = []
+    seen_by_context = {}
+    token_counts = []
     for arrival in arrivals:
         if arrival.kind != "prompt":
-            fresh.append(0)
+            token_counts.append(0)
             continue
-        known = seen.get(arrival.context, 0)
-        fresh.append(max(0, arrival.prompt_tokens - known))
-        seen[arrival.context] = max(known, arrival.prompt_tokens)
-    return fresh
+        seen_tokens = seen_by_context.get(arrival.context, 0)
+        token_counts.append(max(0, arrival.prompt_tokens - seen_tokens))
+        seen_by_context[arrival.context] = max(seen_tokens, arrival.prompt_tokens)
+    return token_counts
 
 
 def write(path, arrivals):
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -36,10 +36,10 @@
     plan = fleet.Plan(
         example=ROOT / "examples" / "umoja", folder=tmp_path_factory.mktemp("shared")
     )
-    made = fleet.Fleet(plan)
-    loop_runner.run(made.__aenter__())
-    yield made
-    loop_runner.run(made.__aexit__(None, None, None))
+    new_fleet = fleet.Fleet(plan)
+    loop_runner.run(new_fleet.__aenter__())
+    yield new_fleet
+    loop_runner.run(new_fleet.__aexit__(None, None, None))
 
 
 @pytest.fixture(scope="module")
@@ -47,17 +47,17 @@
     """Provide a function that starts a fleet, which is stopped after the module."""
     started = []
 
-    def start(example="umoja", **changed):
+    def start(example="umoja", **plan_options):
         plan = fleet.Plan(
             example=ROOT / "examples" / example,
             folder=tmp_path_factory.mktemp("fleet"),
-            **changed,
+            **plan_options,
         )
-        made = fleet.Fleet(plan)
-        loop_runner.run(made.__aenter__())
-        started.append(made)
-        return made
+        new_fleet = fleet.Fleet(plan)
+        loop_runner.run(new_fleet.__aenter__())
+        started.append(new_fleet)
+        return new_fleet
 
     yield start
-    for made in reversed(started):
-        loop_runner.run(made.__aexit__(None, None, None))
+    for new_fleet in reversed(started):
+        loop_runner.run(new_fleet.__aexit__(None, None, None))
--- a/tests/paths/test_whole_path.py
+++ b/tests/paths/test_whole_path.py
@@ -74,7 +74,7 @@
             "session-7-key",
         )
 
-    async def settled():
+    async def is_replayed():
         try:
             answer, replayed = await book("entry-3")
         except outcomes.CommandError:
@@ -82,7 +82,7 @@
         return replayed and answer["run"] == 1
 
     seen["first"] = loop_runner.run(book("entry-1"))
-    loop_runner.run(running.until(settled))
+    loop_runner.run(running.until(is_replayed))
     seen["second"] = loop_runner.run(book("entry-3"))
 
 
@@ -93,7 +93,7 @@
 
 
 @pytest_bdd.then("the service ran the booking once")
-def ran_once(running, loop_runner):
+def service_ran_booking_once(running, loop_runner):
     counts = loop_runner.run(running.counts("bookings-1"))
     assert counts["runs"]["session-7"] == 1
 
@@ -110,7 +110,7 @@
 
 
 @pytest_bdd.then("every entry reports the new revision")
-def revision_is_in_force(running, loop_runner):
+def every_entry_has_new_revision(running, loop_runner):
     for name in running.entry_names:
         assert loop_runner.run(running.status(name))["revision"] == 2
 
