--- a/packages/lab/sesamespindle/lab/engine.py
+++ b/packages/lab/sesamespindle/lab/engine.py
@@ -61,7 +61,32 @@
 
 
 class Stream:
-    """An answer that is being generated; it outlives the connections that read it."""
+    """An answer that is being generated; it outlives the connections that read it.
+
+    Parameters
+    ----------
+    request : dict
+        The JSON body of the request that started it.
+    ids : sequence of str
+        The block ids of the prompt.
+
+    Attributes
+    ----------
+    first : int
+        The sequence number of the first token generated here. It is above 1 if the
+        stream continues an answer that another engine began.
+    tokens : list of str
+        The tokens generated here.
+    sent : int
+        The highest sequence number written to any reader.
+    start_event : dict or None
+        The first event of the stream, with the token counts of the prefill; None until
+        the prefill has ended.
+    readers : int
+        The number of connections that read the stream.
+    changed : asyncio.Condition
+        Notified after each change that a reader may have to send.
+    """
 
     def __init__(self, request, ids):
         self.id = request["stream"]
@@ -106,7 +131,24 @@
 
 
 class Engine:
-    """Serves streams; one task prefills prompts, another generates tokens."""
+    """Serves streams; one task prefills prompts, another generates tokens.
+
+    Parameters
+    ----------
+    model : Model
+        The speed and the capacity.
+
+    Notes
+    -----
+    Faults: ``refuse``, new streams are refused; ``delay``, seconds before each
+    prefill; ``hold_prompts``, prefills are held back until it is switched off;
+    ``double_pieces``, each piece is sent twice; ``shuffle_pieces``, pieces that are
+    ready together are sent in reverse order; ``cut_after_pieces``, connections are cut
+    from this sequence number on, which each cut lowers by one; ``hide_end_mark``, the
+    number of times that an end mark is withheld; ``load_frozen``, the load report is
+    not updated; ``leaving``, the engine reports that it leaves; ``crashed_by``, the
+    process exits when it receives a prompt that contains this text.
+    """
 
     def __init__(self, model):
         self._model = model
--- a/packages/lab/sesamespindle/lab/fleet.py
+++ b/packages/lab/sesamespindle/lab/fleet.py
@@ -92,6 +92,19 @@
         The processes and options of the fleet.
     progress : callable
         Receives a line of text for each step.
+
+    Attributes
+    ----------
+    session : aiohttp.ClientSession
+        For requests to the processes; closed with the fleet.
+    platform : processes.Process
+        The stand-in for the platform.
+    process_by_name, proxy_by_name : dict
+        Each `processes.Process`, and the fault proxy in front of it if there is one,
+        by the name of the process.
+    role_by_name : dict
+        ``platform``, ``daemon``, ``engine``, ``store_host`` or ``service``, by the
+        name of the process.
     """
 
     def __init__(self, plan, progress=lambda line: None):
@@ -140,7 +153,11 @@
 
     def names_of(self, role):
         """Return the names of the processes that have a role."""
-        return [name for name, held in self.role_by_name.items() if held == role]
+        return [
+            name
+            for name, process_role in self.role_by_name.items()
+            if process_role == role
+        ]
 
     def url(self, name):
         """Return the URL of a process itself, not of a proxy in front of it."""
@@ -235,7 +252,7 @@
         return process
 
     async def restart_target(self, name):
-        """Start a stand-in that was killed again, at a new address."""
+        """Restart a stand-in that was killed; it listens at a new address."""
         role = self.role_by_name[name]
         data_centre = self._data_centre_by_name[name]
         await self._start_target(name, role, data_centre)
--- a/packages/lab/sesamespindle/lab/store_host.py
+++ b/packages/lab/sesamespindle/lab/store_host.py
@@ -16,6 +16,15 @@
     """Consecutive blocks of one chain of block ids.
 
     Lookups return it only once it is committed.
+
+    Attributes
+    ----------
+    name : str
+        The name that the store host gave it.
+    ids : list of str
+        The ids of its blocks, in order.
+    data : bytes
+        The KV cache of all blocks, as it was written.
     """
 
     name: str
