--- a/packages/lab/sesamespindle/lab/capacity.py
+++ b/packages/lab/sesamespindle/lab/capacity.py
@@ -23,10 +23,14 @@
     TARGET,
 )
 PAGE = pathlib.Path("docs/CAPACITY.md")
+# Load of the whole fleet at the target size.
 CONTEXTS = 140_000
 REQUESTS_PER_SECOND = 7600
+# The number of entries that serve one account.
 ENTRIES_PER_ACCOUNT = 3
 CONFIG_CHANGES_PER_DAY = 700
+# Budget of a daemon for control work: a share of a core, memory above that of the
+# imports, and bytes per second.
 CPU_BUDGET = 0.017
 MEMORY_BUDGET_MB = 32
 BYTES_BUDGET = 20_000
@@ -37,11 +41,13 @@
 TICKS = 5
 # Renewals per second of one slice.
 RENEWALS = 1 / 3
+# Transport overhead of one message.
 _RPC_OVERHEAD_BYTES = 150
 _RPC_SECONDS_RUNS = 2000
 _LIVE_SIZES = (3, 9, 27)
 _SETTLE_SECONDS = 5.0
 _LIVE_SECONDS = 10.0
+# Idempotency keys per hour and daemon, and for how many hours its state is computed.
 _KEYS_PER_DAEMON_HOUR = 3600
 _KEY_HOURS = 2
 _DAY = 86_400
@@ -220,11 +226,11 @@
         "| gossip round, us | gossip round, bytes |",
         "| --- | --- | --- | --- | --- | --- | --- | --- |",
     ]
-    for size, prompt, tick, slice_request, gossip in logic:
+    for size, prompt, tick, renewal, gossip in logic:
         lines.append(
             f"| {size.entries} | {size.targets} | {size.accounts} "
             f"| {prompt.microseconds:.0f} | {tick.microseconds:.0f} "
-            f"| {slice_request.microseconds:.0f} | {gossip.microseconds:.0f} "
+            f"| {renewal.microseconds:.0f} | {gossip.microseconds:.0f} "
             f"| {gossip.message_bytes:.0f} |"
         )
     return "\n".join(lines)
@@ -255,20 +261,21 @@
 
 def _target_table(logic, memory, live):
     """Return the table of a daemon's control work and state at the target size."""
-    _, prompt, tick, slice_request, gossip = logic[-1]
+    _, prompt, tick, renewal, gossip = logic[-1]
     accounts_here = TARGET.accounts * ENTRIES_PER_ACCOUNT / TARGET.entries
-    # An account has a slice of each of two resources, prompts and calls.
-    asks = accounts_here * 2 * RENEWALS
+    # Slice requests per second: an account has a slice of each of two resources,
+    # prompts and calls.
+    slice_requests = accounts_here * 2 * RENEWALS
     # Each daemon takes part in the rounds that it starts and in as many that its
     # peers start. The cost of a round already includes the work of both daemons.
     gossip_bytes = GOSSIP_ROUNDS * 2 * (gossip.message_bytes + 2 * _RPC_OVERHEAD_BYTES)
-    slice_bytes = 2 * asks * (slice_request.message_bytes + 2 * _RPC_OVERHEAD_BYTES)
+    slice_bytes = 2 * slice_requests * (renewal.message_bytes + 2 * _RPC_OVERHEAD_BYTES)
     gossip_share = GOSSIP_ROUNDS * gossip.microseconds / 1e6
-    parts = [
+    roles = [
         ("gossip member", gossip_share, gossip_bytes),
         ("ticks of all systems", TICKS * tick.microseconds / 1e6, 0.0),
-        ("account owner and slice holder", 2 * asks * slice_request.microseconds / 1e6,
-         slice_bytes),
+        ("account owner and slice holder",
+         2 * slice_requests * renewal.microseconds / 1e6, slice_bytes),
     ]  # fmt: skip
     lines = [
         "| role | share of a core | bytes/s | mechanism |",
@@ -279,10 +286,10 @@
         "systems over tables, five times a second",
         "slices by rendezvous, renewed at half their life",
     )
-    for (role, share, size), mechanism in zip(parts, mechanisms, strict=True):
+    for (role, share, size), mechanism in zip(roles, mechanisms, strict=True):
         lines.append(f"| {role} | {share:.2%} | {size:.0f} | {mechanism} |")
-    total = sum(share for _, share, _ in parts)
-    size = sum(size for _, _, size in parts)
+    total = sum(share for _, share, _ in roles)
+    size = sum(size for _, _, size in roles)
     lines.append(
         f"| all of these | {total:.2%} of {CPU_BUDGET:.1%} "
         f"| {size:.0f} of {BYTES_BUDGET} | decision logic alone, without RPC cost |"
--- a/packages/lab/sesamespindle/lab/replay.py
+++ b/packages/lab/sesamespindle/lab/replay.py
@@ -24,7 +24,7 @@
         Whether a complete answer was received.
     code : str
         The error code of the last refusal.
-    tries : int
+    attempts : int
         Attempts until it was answered or abandoned.
     first_token_seconds : float
         Seconds to the first token. For a call, and for a prompt that took several
--- a/packages/lab/sesamespindle/lab/slopes.py
+++ b/packages/lab/sesamespindle/lab/slopes.py
@@ -52,7 +52,13 @@
 
 
 class DecisionBenchmark:
-    """The decision logic of one daemon, filled with a fleet of a given size."""
+    """The decision logic of one daemon, filled with a fleet of a given size.
+
+    Parameters
+    ----------
+    size : Size
+        The size of the fleet.
+    """
 
     def __init__(self, size):
         self.size = size
--- a/tests/lab/test_processes.py
+++ b/tests/lab/test_processes.py
@@ -6,10 +6,10 @@
 
 
 def test_start_error_tells_an_ended_process_from_a_slow_one(go, tmp_path, monkeypatch):
-    """The error of a failed start does not show whether the process ended or was slow.
+    """Guards against a start error that does not say if the process ended or was slow.
 
-    A process that fails at once and one that is starved of processor time on a busy
-    machine gave the same message, which hid whether the time limit or the code was
+    A process that failed at once and one that was starved of processor time on a busy
+    machine gave the same message, which hid whether the code or the time limit was
     at fault.
     """
     with pytest.raises(processes.StartError, match=r"a ended with exit code 1 "):
