--- a/packages/lab/sesamespindle/lab/proxy.py
+++ b/packages/lab/sesamespindle/lab/proxy.py
@@ -33,7 +33,8 @@
 
     Faults: ``mode``, one of `Mode`; ``delay``, seconds before each chunk of bytes;
     ``cut``, which aborts all connections once; ``cut_after_bytes``, which aborts all
-    connections when a new one has sent that many bytes to the target.
+    connections as soon as one that was opened since has sent that many bytes to the
+    target.
     """
 
     def __init__(self, target_host, target_port):
