--- a/packages/lab/sesamespindle/lab/capacity.py
+++ b/packages/lab/sesamespindle/lab/capacity.py
@@ -1,4 +1,8 @@
-"""The tables of docs/CAPACITY.md, from measured slopes."""
+"""Generation of the tables of docs/CAPACITY.md.
+
+The costs of the decision logic and its memory are measured at growing fleet sizes, and
+the load of one daemon at the target size is computed from them.
+"""
 
 import asyncio
 import dataclasses
@@ -19,22 +23,31 @@
     TARGET,
 )
 PAGE = pathlib.Path("docs/CAPACITY.md")
+# Load of the whole fleet at the target size.
 CONTEXTS = 140_000
 REQUESTS_PER_SECOND = 7600
+# The number of entries that serve one account.
 ENTRIES_PER_ACCOUNT = 3
 CONFIG_CHANGES_PER_DAY = 700
+# Budget of a daemon for control work: a share of a core, memory above that of the
+# imports, and bytes per second.
 CPU_BUDGET = 0.017
 MEMORY_BUDGET_MB = 32
 BYTES_BUDGET = 20_000
-# One a second with two peers inside the data centre and one outside.
+# Gossip rounds per second: with two peers in the data centre and one outside, each
+# once per second.
 GOSSIP_ROUNDS = 3
+# Ticks per second.
 TICKS = 5
+# Renewals per second of one slice.
 RENEWALS = 1 / 3
+# Transport overhead of one message.
 _RPC_OVERHEAD_BYTES = 150
 _RPC_SECONDS_RUNS = 2000
 _LIVE_SIZES = (3, 9, 27)
 _SETTLE_SECONDS = 5.0
 _LIVE_SECONDS = 10.0
+# Idempotency keys per hour and daemon, and for how many hours its state is computed.
 _KEYS_PER_DAEMON_HOUR = 3600
 _KEY_HOURS = 2
 _DAY = 86_400
@@ -42,7 +55,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class Live:
-    """What idle daemons of a fleet of real processes use, on average."""
+    """The average resource use of the idle daemons of a real fleet.
+
+    Attributes
+    ----------
+    entries : int
+        The number of daemons.
+    resident_mb : float
+        Resident memory of a daemon, in MB.
+    core_share : float
+        Processor time of a daemon, as a share of one core.
+    """
 
     entries: int
     resident_mb: float
@@ -50,46 +73,60 @@
 
 
 def measure_logic(show):
-    """Return rows of the costs of the decision logic at each size."""
+    """Measure the decision logic at each size of `SIZES`.
+
+    Returns
+    -------
+    list of tuple
+        The size and the `slopes.Cost` of a prompt, of a tick, of a slice request at
+        the account's owner, and of a gossip round.
+    """
     rows = []
     for size in SIZES:
-        show(f"Decision logic with {size.entries} entries, {size.targets} targets.")
-        bench = slopes.Bench(size)
+        show(
+            f"Measuring the decision logic: {size.entries} entries, "
+            f"{size.targets} targets."
+        )
+        benchmark = slopes.DecisionBenchmark(size)
         rows.append(
             (
                 size,
-                bench.prompt_cost(),
-                bench.tick_cost(),
-                bench.owner_cost(),
-                bench.gossip_cost(),
+                benchmark.prompt_cost(),
+                benchmark.tick_cost(),
+                benchmark.slice_cost(),
+                benchmark.gossip_cost(),
             )
         )
     return rows
 
 
 def measure_memory(show):
-    """Return rows of (what, count, bytes in all) for the tables."""
+    """Return a list of (description, number of items, total size in bytes)."""
     rows = []
     for size in SIZES:
-        show(f"Memory of declarations and views, {size.accounts} accounts.")
-        held = slopes.bytes_of(lambda size=size: slopes.Bench(size))
-        rows.append((f"all tables at {size.entries} entries", size.accounts, held))
+        show(f"Measuring the memory of all tables: {size.accounts} accounts.")
+        size_bytes = slopes.allocated_bytes(
+            lambda size=size: slopes.DecisionBenchmark(size)
+        )
+        rows.append(
+            (f"all tables at {size.entries} entries", size.accounts, size_bytes)
+        )
     for count in (1_000, 5_000, 20_000):
-        show(f"Memory of {count} contexts.")
-        held = slopes.bytes_of(lambda count=count: _fill_contexts(count))
-        rows.append(("contexts", count, held))
+        show(f"Measuring the memory of {count} contexts.")
+        size_bytes = slopes.allocated_bytes(lambda count=count: _fill_contexts(count))
+        rows.append(("contexts", count, size_bytes))
     for count in (100, 1_000, 10_000):
-        show(f"Memory of {count} keys.")
-        held = slopes.bytes_of(lambda count=count: _fill_keys(count))
-        rows.append(("keys with an answer of 1 KB", count, held))
+        show(f"Measuring the memory of {count} idempotency keys.")
+        size_bytes = slopes.allocated_bytes(lambda count=count: _fill_keys(count))
+        rows.append(("keys with an answer of 1 KB", count, size_bytes))
     return rows
 
 
 async def measure_live(show):
-    """Return a `Live` for fleets of real, idle daemons."""
+    """Return a `Live` for each fleet size of `_LIVE_SIZES`, measured on processes."""
     rows = []
     for entries in _LIVE_SIZES:
-        show(f"A fleet of {entries} idle daemons for {_LIVE_SECONDS:.0f} s.")
+        show(f"Measuring {entries} idle daemons for {_LIVE_SECONDS:.0f} s.")
         plan = fleet.Plan(
             folder=pathlib.Path(".run/capacity"),
             entries=entries,
@@ -97,18 +134,18 @@
             engines=3,
         )
         async with fleet.Fleet(plan) as running:
-            watched = [
+            daemon_processes = [
                 psutil.Process(running.process_by_name[name].pid)
                 for name in running.entry_names
             ]
             await asyncio.sleep(_SETTLE_SECONDS)
-            before = [_cpu_seconds(item) for item in watched]
+            before = [_cpu_seconds(item) for item in daemon_processes]
             await asyncio.sleep(_LIVE_SECONDS)
             used = [
                 _cpu_seconds(item) - start
-                for item, start in zip(watched, before, strict=True)
+                for item, start in zip(daemon_processes, before, strict=True)
             ]
-            resident = [item.memory_info().rss / 1e6 for item in watched]
+            resident = [item.memory_info().rss / 1e6 for item in daemon_processes]
         rows.append(
             Live(
                 entries,
@@ -120,7 +157,7 @@
 
 
 async def measure_bare_process():
-    """Return the resident memory, in MB, of the imports alone."""
+    """Return the resident memory, in MB, of a process with only the imports."""
     code = (
         "import sesamespindle.daemon.main, psutil;"
         "print(psutil.Process().memory_info().rss / 1e6)"
@@ -133,7 +170,7 @@
 
 
 def write_page(logic, memory, live, bare_mb):
-    """Put the measured tables into the page, between its markers."""
+    """Write the measured tables into the page, each between its comment markers."""
     text = PAGE.read_text("utf-8")
     tables = {
         "logic": _logic_table(logic),
@@ -160,9 +197,9 @@
 
 
 def _fill_keys(count):
-    bench = slopes.Bench(SIZES[0])
-    table = bench.core.calls
-    now = bench.now
+    benchmark = slopes.DecisionBenchmark(SIZES[0])
+    table = benchmark.core.calls
+    now = benchmark.now
     for number in range(count):
         event = events.CallArrived(
             f"r{number}", "account-0", "bookings", now, events.KeyKind.TICKET,
@@ -175,7 +212,7 @@
             ),
             now,
         )
-    return bench
+    return benchmark
 
 
 def _cpu_seconds(process):
@@ -189,11 +226,11 @@
         "| gossip round, us | gossip round, bytes |",
         "| --- | --- | --- | --- | --- | --- | --- | --- |",
     ]
-    for size, prompt, tick, owner, gossip in logic:
+    for size, prompt, tick, renewal, gossip in logic:
         lines.append(
             f"| {size.entries} | {size.targets} | {size.accounts} "
             f"| {prompt.microseconds:.0f} | {tick.microseconds:.0f} "
-            f"| {owner.microseconds:.0f} | {gossip.microseconds:.0f} "
+            f"| {renewal.microseconds:.0f} | {gossip.microseconds:.0f} "
             f"| {gossip.message_bytes:.0f} |"
         )
     return "\n".join(lines)
@@ -201,8 +238,10 @@
 
 def _memory_table(memory):
     lines = ["| what | count | KB in all | bytes each |", "| --- | --- | --- | --- |"]
-    for what, count, held in memory:
-        lines.append(f"| {what} | {count} | {held / 1e3:.0f} | {held / count:.0f} |")
+    for what, count, size_bytes in memory:
+        lines.append(
+            f"| {what} | {count} | {size_bytes / 1e3:.0f} | {size_bytes / count:.0f} |"
+        )
     return "\n".join(lines)
 
 
@@ -221,18 +260,22 @@
 
 
 def _target_table(logic, memory, live):
-    """Work the daemon's control work at the target out from the slopes."""
-    _, prompt, tick, owner, gossip = logic[-1]
+    """Return the table of a daemon's control work and state at the target size."""
+    _, prompt, tick, renewal, gossip = logic[-1]
     accounts_here = TARGET.accounts * ENTRIES_PER_ACCOUNT / TARGET.entries
-    asks = accounts_here * 2 * RENEWALS
+    # Slice requests per second: an account has a slice of each of two resources,
+    # prompts and calls.
+    slice_requests = accounts_here * 2 * RENEWALS
+    # Each daemon takes part in the rounds that it starts and in as many that its
+    # peers start. The cost of a round already includes the work of both daemons.
     gossip_bytes = GOSSIP_ROUNDS * 2 * (gossip.message_bytes + 2 * _RPC_OVERHEAD_BYTES)
-    slice_bytes = 2 * asks * (owner.message_bytes + 2 * _RPC_OVERHEAD_BYTES)
+    slice_bytes = 2 * slice_requests * (renewal.message_bytes + 2 * _RPC_OVERHEAD_BYTES)
     gossip_share = GOSSIP_ROUNDS * gossip.microseconds / 1e6
-    parts = [
+    roles = [
         ("gossip member", gossip_share, gossip_bytes),
         ("ticks of all systems", TICKS * tick.microseconds / 1e6, 0.0),
-        ("account owner and slice holder", 2 * asks * owner.microseconds / 1e6,
-         slice_bytes),
+        ("account owner and slice holder",
+         2 * slice_requests * renewal.microseconds / 1e6, slice_bytes),
     ]  # fmt: skip
     lines = [
         "| role | share of a core | bytes/s | mechanism |",
@@ -243,10 +286,10 @@
         "systems over tables, five times a second",
         "slices by rendezvous, renewed at half their life",
     )
-    for (role, share, size), mechanism in zip(parts, mechanisms, strict=True):
+    for (role, share, size), mechanism in zip(roles, mechanisms, strict=True):
         lines.append(f"| {role} | {share:.2%} | {size:.0f} | {mechanism} |")
-    total = sum(share for _, share, _ in parts)
-    size = sum(size for _, _, size in parts)
+    total = sum(share for _, share, _ in roles)
+    size = sum(size for _, _, size in roles)
     lines.append(
         f"| all of these | {total:.2%} of {CPU_BUDGET:.1%} "
         f"| {size:.0f} of {BYTES_BUDGET} | decision logic alone, without RPC cost |"
@@ -256,13 +299,17 @@
         f"| deciding on prompts, {requests:.1f} a second "
         f"| {requests * prompt.microseconds / 1e6:.2%} | | not control work |"
     )
-    tables = next(held for what, _, held in memory if f"{TARGET.entries} " in what)
-    by_context = [held / count for what, count, held in memory if what == "contexts"][
-        -1
-    ]
-    by_key = [held / count for what, count, held in memory if what.startswith("keys")][
-        -1
-    ]
+    tables = next(
+        size_bytes for what, _, size_bytes in memory if f"{TARGET.entries} " in what
+    )
+    by_context = [
+        size_bytes / count for what, count, size_bytes in memory if what == "contexts"
+    ][-1]
+    by_key = [
+        size_bytes / count
+        for what, count, size_bytes in memory
+        if what.startswith("keys")
+    ][-1]
     contexts_here = CONTEXTS * ENTRIES_PER_ACCOUNT / TARGET.entries
     keys = _KEYS_PER_DAEMON_HOUR * _KEY_HOURS
     state = (tables + by_context * contexts_here + by_key * keys) / 1e6
@@ -284,8 +331,13 @@
 
 
 def _platform_table():
-    """Work the platform's calls at the target out from the mechanisms."""
+    """Return the table of calls to the platform per second at the target size.
+
+    The rates are computed from the intervals of the mechanisms, not measured.
+    """
+    # Two watchers per data centre, each with a watch of 10 s.
     watches = TARGET.data_centres * 2 / 10
+    # Every daemon checks once in 30 to 45 s, 37 s on average.
     checks = TARGET.entries / 37
     lists = 50
     documents = CONFIG_CHANGES_PER_DAY / _DAY
@@ -303,10 +355,10 @@
 
 
 def run(show):
-    """Measure everything and write the page."""
+    """Run all measurements and write the tables of docs/CAPACITY.md."""
     logic = measure_logic(show)
     memory = measure_memory(show)
     live = asyncio.run(measure_live(show))
     bare_mb = asyncio.run(measure_bare_process())
     write_page(logic, memory, live, bare_mb)
-    show(f"The tables are in {PAGE}.")
+    show(f"Tables written to {PAGE}.")
--- a/packages/lab/sesamespindle/lab/fleet.py
+++ b/packages/lab/sesamespindle/lab/fleet.py
@@ -1,4 +1,8 @@
-"""A small fleet of real processes: stand-ins, daemons, and what is declared."""
+"""A launcher for a small fleet of real processes on one machine.
+
+It starts the stand-ins for the platform and the targets, applies the declarations of
+an example, starts the daemons, and ends all these processes again.
+"""
 
 import asyncio
 import contextlib
@@ -25,27 +29,36 @@
 
 
 class FleetError(Exception):
-    """The fleet could not be made ready."""
+    """Raised when the declarations of the example could not be applied."""
 
     code = "fleet"
 
 
 @dataclasses.dataclass
 class Plan:
-    """What a fleet is made of.
+    """The processes and options of a fleet.
 
     Attributes
     ----------
-    entries, engines : int
-        How many of each; engines are taken from the example's targets.
+    example : pathlib.Path
+        The folder with the declarations to apply.
+    folder : pathlib.Path
+        The folder for settings and logs. It is deleted before the fleet starts.
+    entries : int
+        The number of daemons.
+    engines, store_hosts, services : int
+        The number of targets of each kind to start, taken from the declared targets
+        of the example.
     data_centres : int
-        Over how many of the example's data centres the entries are spread.
+        The number of data centres of the example that the daemons are spread over.
     engine_options, store_options, platform_options : list of str
-        Further arguments of the stand-ins.
+        Additional command line arguments of the stand-ins.
     proxied : frozenset of str
-        Targets that are reached only through a fault proxy.
+        Names of the targets that daemons reach only through a fault proxy.
+    proxy_platform : bool
+        Whether daemons reach the platform only through a fault proxy.
     settings : dict
-        What the daemons' settings say beyond the defaults.
+        Settings of all daemons that differ from the defaults.
     """
 
     example: pathlib.Path = pathlib.Path("examples/umoja")
@@ -64,25 +77,40 @@
 
 
 def demo_key(account):
-    """Return the key of an account of the examples."""
+    """Return the API key of an account of the examples."""
     return f"sk-demo-{account}"
 
 
 class Fleet:
-    """A running fleet; ends every process it started when it is left.
+    """A running fleet, as an asynchronous context manager.
+
+    Every process that it started is ended when the context is left.
 
     Parameters
     ----------
     plan : Plan
-        What to start.
+        The processes and options of the fleet.
     progress : callable
-        Gets a line of text for each step.
+        Receives a line of text for each step.
+
+    Attributes
+    ----------
+    session : aiohttp.ClientSession
+        For requests to the processes; closed with the fleet.
+    platform : processes.Process
+        The stand-in for the platform.
+    process_by_name, proxy_by_name : dict
+        Each `processes.Process`, and the fault proxy in front of it if there is one,
+        by the name of the process.
+    role_by_name : dict
+        ``platform``, ``daemon``, ``engine``, ``store_host`` or ``service``, by the
+        name of the process.
     """
 
     def __init__(self, plan, progress=lambda line: None):
         self.plan = plan
         self._progress = progress
-        self._stack = contextlib.AsyncExitStack()
+        self._exit_stack = contextlib.AsyncExitStack()
         self._entities = documents.read_folder(plan.example)
         self.session = None
         self.platform = None
@@ -95,16 +123,18 @@
     async def __aenter__(self):
         shutil.rmtree(self.plan.folder, ignore_errors=True)
         self.plan.folder.mkdir(parents=True)
-        self.session = await self._stack.enter_async_context(aiohttp.ClientSession())
+        self.session = await self._exit_stack.enter_async_context(
+            aiohttp.ClientSession()
+        )
         try:
             await self._start_all()
         except BaseException:
-            await self._end_all()
+            await self._stop_all()
             raise
         return self
 
     async def __aexit__(self, *exc_info):
-        await self._end_all()
+        await self._stop_all()
 
     @property
     def accounts(self):
@@ -118,20 +148,24 @@
 
     @property
     def entry_names(self):
-        """Return the names of the daemons, in the order they were started."""
+        """Return the names of the daemons, in the order in which they started."""
         return [name for name, role in self.role_by_name.items() if role == "daemon"]
 
     def names_of(self, role):
-        """Return the names of the processes of a role."""
-        return [name for name, held in self.role_by_name.items() if held == role]
+        """Return the names of the processes that have a role."""
+        return [
+            name
+            for name, process_role in self.role_by_name.items()
+            if process_role == role
+        ]
 
     def url(self, name):
-        """Return where a process listens itself, not its proxy."""
+        """Return the URL of a process itself, not of a proxy in front of it."""
         return self.process_by_name[name].url
 
     @property
     def environment(self):
-        """Return what the operators' command line needs."""
+        """Return the environment variables that the operators' command line reads."""
         return {
             "SESAMESPINDLE_PLATFORM": self.platform_url,
             "SESAMESPINDLE_ADMIN_KEY": ADMIN_KEY,
@@ -139,47 +173,47 @@
 
     @property
     def platform_url(self):
-        """Return where the platform's API is, past no proxy."""
+        """Return the URL of the platform's API itself, not of a proxy."""
         return self.platform.url
 
     async def fault(self, name, **faults):
-        """Switch faults of a stand-in."""
+        """Set faults of a stand-in, by name and value."""
         await self._post(f"{self.url(name)}/faults", faults)
 
     async def proxy_fault(self, name, **faults):
-        """Switch faults of the proxy before a process."""
+        """Set faults of the proxy in front of a process, by name and value."""
         await self._post(f"{self.proxy_by_name[name].url}/faults", faults)
 
     async def post(self, name, path, value):
-        """Post to a stand-in and return its answer."""
+        """Send a POST with a JSON value to a stand-in; return its decoded answer."""
         return await self._post(f"{self.url(name)}{path}", value)
 
     async def counts(self, name):
-        """Return what a stand-in has counted."""
+        """Return the counters of a stand-in."""
         async with self.session.get(f"{self.url(name)}/counts") as response:
             return await response.json()
 
     async def status(self, name):
-        """Return a daemon's status."""
-        return await self._ask_operators_door(name, "/status")
+        """Return the status that a daemon reports on its admin API."""
+        return await self._get_from_admin(name, "/status")
 
     async def timeline(self, name):
-        """Return the events of an entry's time line, asked of it directly.
+        """Return the events of an entry's timeline, read from its admin API.
 
-        The command line takes seconds to start on a busy machine, longer than an
-        entry's resumes of a stream.
+        Tests use this rather than the command line, which takes seconds to start on a
+        busy machine; by then an entry may have finished resuming a stream.
         """
-        told = await self._ask_operators_door(name, "/timeline")
-        return told["events"]
+        answer = await self._get_from_admin(name, "/timeline")
+        return answer["events"]
 
-    async def _ask_operators_door(self, name, path):
+    async def _get_from_admin(self, name, path):
         url = self.process_by_name[name].announced["admin_url"]
         headers = {"Authorization": f"Bearer {ADMIN_KEY}"}
         async with self.session.get(f"{url}{path}", headers=headers) as response:
             return await response.json()
 
     async def cli(self, *arguments, environment=None):
-        """Run the operators' command line; return its exit code and output."""
+        """Run the operators' command line; return its exit code and its output."""
         child = await asyncio.create_subprocess_exec(
             processes.sys.executable,
             "-m",
@@ -192,15 +226,18 @@
         output, _ = await child.communicate()
         return child.returncode, output.decode()
 
-    async def start_entry(self, name, data_centre, **changed):
-        """Start a daemon, and have the platform list it."""
+    async def start_entry(self, name, data_centre, **overrides):
+        """Start a daemon and add it to the platform's host list.
+
+        Keyword arguments override the settings of the plan for this daemon.
+        """
         path = self.plan.folder / f"{name}.yaml"
         values = {
             "name": name,
             "data_centre": data_centre,
             "platform_url": self._platform_url_for_daemons(),
             **self.plan.settings,
-            **changed,
+            **overrides,
         }
         path.write_text(yaml.safe_dump(values), "utf-8")
         secrets = {
@@ -210,18 +247,32 @@
         process = await processes.start(
             name, [_DAEMON, str(path)], self.plan.folder, secrets
         )
-        self._keep(name, "daemon", data_centre, process)
-        await self._list(name, "entry", data_centre, process.announced)
+        self._register_process(name, "daemon", data_centre, process)
+        await self._add_to_host_list(name, "entry", data_centre, process.announced)
         return process
 
     async def restart_target(self, name):
-        """Start a stand-in that was killed anew, at a new address."""
+        """Restart a stand-in that was killed; it listens at a new address."""
         role = self.role_by_name[name]
         data_centre = self._data_centre_by_name[name]
         await self._start_target(name, role, data_centre)
 
     async def wait_ready(self, names=None):
-        """Wait until daemons are ready and see all live targets and each other."""
+        """Wait until daemons are ready.
+
+        A daemon is ready if it says so, if it can use all targets at their current
+        addresses, and if it considers all named daemons live.
+
+        Parameters
+        ----------
+        names : list of str, optional
+            The daemons to wait for; all by default.
+
+        Raises
+        ------
+        TimeoutError
+            If they are not ready within 60 s.
+        """
         names = names or self.entry_names
         targets = {
             name
@@ -234,13 +285,19 @@
                     await asyncio.sleep(_POLL_SECONDS)
 
     async def until(self, condition):
-        """Wait until an asynchronous condition holds, or fail after a minute."""
+        """Wait until an asynchronous condition returns true.
+
+        Raises
+        ------
+        TimeoutError
+            If it does not do so within 60 s.
+        """
         async with asyncio.timeout(_READY_SECONDS):
             while not await condition():
                 await asyncio.sleep(_POLL_SECONDS)
 
     def describe(self):
-        """Return the fleet as the values of its JSON file."""
+        """Return the content of the fleet's JSON file."""
         described = [
             {
                 "role": self.role_by_name[name],
@@ -272,11 +329,11 @@
         }
 
     def write_description(self):
-        """Write the fleet's JSON file, all at once."""
+        """Write the fleet's JSON file atomically; return its path."""
         path = self.plan.folder / "fleet.json"
-        draft = path.with_suffix(".draft")
-        draft.write_text(json.dumps(self.describe(), indent=2), "utf-8")
-        draft.replace(path)
+        draft_path = path.with_suffix(".draft")
+        draft_path.write_text(json.dumps(self.describe(), indent=2), "utf-8")
+        draft_path.replace(path)
         return path
 
     async def _start_all(self):
@@ -285,16 +342,18 @@
         arguments = [_LAB, "standin", "platform", *plan.platform_options]
         self.platform = await processes.start("platform", arguments, plan.folder)
         data_centres = self._names("DataCentre")
-        self._keep("platform", "platform", data_centres[0], self.platform)
+        self._register_process("platform", "platform", data_centres[0], self.platform)
         if plan.proxy_platform:
             self.proxy_by_name["platform"] = await self._start_proxy(self.platform)
         await self._start_targets()
-        self._progress(f"Applying {plan.example}.")
+        self._progress(f"Applying the declarations in {plan.example}.")
         code, output = await self.cli("apply", str(plan.example))
         if code:
             raise FleetError(output)
         used = data_centres[: plan.data_centres]
-        self._progress(f"Starting {plan.entries} daemons in {', '.join(used)}.")
+        self._progress(
+            f"Starting {plan.entries} daemons in data centres {', '.join(used)}."
+        )
         await asyncio.gather(
             *(
                 self.start_entry(f"entry-{number + 1}", used[number % len(used)])
@@ -302,7 +361,7 @@
             )
         )
         await self.wait_ready()
-        self._progress("All are ready.")
+        self._progress("All daemons are ready.")
 
     async def _start_targets(self):
         plan = self.plan
@@ -321,7 +380,7 @@
         await asyncio.gather(*(self._start_target(*item) for item in chosen))
 
     def _targets_of(self, kind):
-        """Return the declared targets of a kind, one pool after the other."""
+        """Return the declared targets of a kind, in the order of the declarations."""
         kind_by_pool = {
             entity.model.name: entity.model.targets
             for entity in self._entities.values()
@@ -341,19 +400,19 @@
         if role == "store_host":
             arguments += plan.store_options
         process = await processes.start(name, arguments, plan.folder)
-        self._keep(name, role, data_centre, process)
+        self._register_process(name, role, data_centre, process)
         announced = dict(process.announced)
         if name in plan.proxied:
             proxy = await self._start_proxy(process)
             self.proxy_by_name[name] = proxy
             announced["url"] = proxy.announced["proxy_url"]
-        await self._list(name, role, data_centre, announced)
+        await self._add_to_host_list(name, role, data_centre, announced)
 
     async def _start_proxy(self, process):
         name = f"{process.name}-proxy"
         arguments = [_LAB, "proxy", process.url.removeprefix("http://")]
         proxy = await processes.start(name, arguments, self.plan.folder)
-        self._stack.push_async_callback(proxy.stop)
+        self._exit_stack.push_async_callback(proxy.stop)
         return proxy
 
     def _platform_url_for_daemons(self):
@@ -367,7 +426,7 @@
                 return entity.model.version
         return "none"
 
-    async def _list(self, name, role, data_centre, announced):
+    async def _add_to_host_list(self, name, role, data_centre, announced):
         self._listed_url_by_name[name] = announced["url"]
         host = {
             "name": name,
@@ -388,7 +447,8 @@
             if response.status != 200:
                 return False
         status = await self.status(name)
-        # By address too: a target that was restarted is not ready at its old one.
+        # Compare addresses too: after a restart a target listens at a new address, and
+        # the daemon may still know the old one.
         usable = {
             item["name"]
             for item in status["targets"]
@@ -406,7 +466,7 @@
             response.raise_for_status()
             return await response.json()
 
-    def _keep(self, name, role, data_centre, process):
+    def _register_process(self, name, role, data_centre, process):
         self.process_by_name[name] = process
         self.role_by_name[name] = role
         self._data_centre_by_name[name] = data_centre
@@ -418,8 +478,8 @@
             if entity.kind == kind
         ]
 
-    async def _end_all(self):
-        """End daemons first, so that they need not do without their targets."""
+    async def _stop_all(self):
+        """End the daemons before the others, so that they do not see targets fail."""
         daemons = [self.process_by_name[name] for name in self.entry_names]
         others = [
             process
@@ -428,4 +488,4 @@
         ]
         await asyncio.gather(*(process.stop() for process in daemons))
         await asyncio.gather(*(process.stop() for process in others))
-        await self._stack.aclose()
+        await self._exit_stack.aclose()
--- a/packages/lab/sesamespindle/lab/main.py
+++ b/packages/lab/sesamespindle/lab/main.py
@@ -1,4 +1,4 @@
-"""The command line of the lab: demo, fleet, bench, and single stand-ins."""
+"""The command line of the lab: demo, fleet, benchmarks and single stand-ins."""
 
 import asyncio
 import os
@@ -25,7 +25,7 @@
     traces,
 )
 
-app = cyclopts.App(name="lab", help="Stand-ins, fleets and measurements.")
+app = cyclopts.App(name="lab", help="Run stand-ins, fleets and measurements.")
 standins = cyclopts.App(name="standin", help="Run one stand-in.")
 app.command(standins)
 _EXIT_FAILED = 1
@@ -33,8 +33,8 @@
 
 @app.command(name="demo")
 def run_demo():
-    """Run the tour of `make demo`."""
-    show = _progress()
+    """Run a short demonstration on a fleet of its own."""
+    show = _make_progress()
     try:
         uvloop.run(demo.run(fleet.Plan(), show))
     except (demo.DemoError, fleet.FleetError) as error:
@@ -46,7 +46,8 @@
 def run_fleet():
     """Run a fleet in the foreground until it is interrupted.
 
-    FLEET_ENTRIES, FLEET_ENGINES and FLEET_EXAMPLE change its size and example.
+    The environment variables FLEET_ENTRIES and FLEET_ENGINES set the number of
+    daemons and engines, FLEET_EXAMPLE the example to run.
     """
     example = pathlib.Path("examples") / os.environ.get("FLEET_EXAMPLE", "umoja")
     plan = fleet.Plan(
@@ -54,58 +55,58 @@
         entries=int(os.environ.get("FLEET_ENTRIES", "3")),
         engines=int(os.environ.get("FLEET_ENGINES", "3")),
     )
-    show = _progress()
+    show = _make_progress()
 
     async def run():
-        stop_asked = _stop_asked()
+        stop_event = _stop_event()
         async with fleet.Fleet(plan, show) as running:
             path = running.write_description()
-            show(f"The processes are listed in {path}. Interrupt to stop.")
+            show(f"The processes are listed in {path}. Press Ctrl+C to stop them.")
             for name, value in running.environment.items():
                 show(f"export {name}={value}")
-            await stop_asked.wait()
-            show("Stopping everything.")
+            await stop_event.wait()
+            show("Stopping all processes.")
 
     uvloop.run(run())
 
 
 @app.command(name="bench")
 def run_bench(*examples: str, routing: str = ""):
-    """Replay the examples' traces side by side under several ways of routing.
+    """Replay the examples' traces under several routing policies and compare them.
 
     Parameters
     ----------
     examples
-        ``umoja``, ``klantstem``; both by default.
+        ``umoja`` or ``klantstem``; both by default.
     routing
-        Only this way of routing, without judging.
+        Replay under this policy only, without checking the stated outcomes.
     """
     routings = (routing,) if routing else bench.ROUTINGS
-    held = [
-        uvloop.run(bench.run(example, routings, _progress()))
+    outcomes_met = [
+        uvloop.run(bench.run(example, routings, _make_progress()))
         for example in examples or traces.SHAPE_BY_NAME
     ]
-    if not all(held):
-        print("Some stated outcomes were missed.")
+    if not all(outcomes_met):
+        print("Some stated outcomes were not met.")
 
 
 @app.command(name="guards")
 def run_guards(wanted: str = ""):
-    """Take out each guard in turn and check that its test then fails.
+    """Remove each guard in turn and check that its test fails without it.
 
     Parameters
     ----------
     wanted
-        Only the guards with this in their name.
+        Check only the guards whose name contains this text.
     """
-    if uvloop.run(guards.run(_progress(), wanted)):
+    if uvloop.run(guards.run(_make_progress(), wanted)):
         sys.exit(_EXIT_FAILED)
 
 
 @app.command(name="capacity")
 def run_capacity():
-    """Measure slopes and write the tables of docs/CAPACITY.md."""
-    capacity.run(_progress())
+    """Measure costs at growing sizes and write the tables of docs/CAPACITY.md."""
+    capacity.run(_make_progress())
 
 
 @standins.command(name="platform")
@@ -115,9 +116,9 @@
     writes_per_second: int = 500,
     host_lag: float = 0.3,
 ):
-    """Run the platform's stand-in."""
-    made = platform.Platform(reads_per_second, writes_per_second, host_lag)
-    _serve(made.application(), port)
+    """Run a stand-in for the platform."""
+    stand_in = platform.Platform(reads_per_second, writes_per_second, host_lag)
+    _serve(stand_in.application(), port)
 
 
 @standins.command(name="engine")
@@ -130,7 +131,7 @@
     max_running: int = 256,
     unread_window: float = 5.0,
 ):
-    """Run an engine's stand-in."""
+    """Run a stand-in for a model engine."""
     model = engine.Model(
         version,
         prefill_rate,
@@ -141,7 +142,7 @@
     )
 
     async def run():
-        await standin.serve(engine.Engine(model).application(), port, _stop_asked())
+        await standin.serve(engine.Engine(model).application(), port, _stop_event())
 
     uvloop.run(run())
 
@@ -153,57 +154,59 @@
     block_bytes: int = 65_536,
     link_bytes_per_second: float = 500_000_000.0,
 ):
-    """Run a store host's stand-in."""
+    """Run a stand-in for a store host."""
 
     async def run():
-        made = store_host.StoreHost(capacity_blocks, block_bytes, link_bytes_per_second)
-        await standin.serve(made.application(), port, _stop_asked())
+        stand_in = store_host.StoreHost(
+            capacity_blocks, block_bytes, link_bytes_per_second
+        )
+        await standin.serve(stand_in.application(), port, _stop_event())
 
     uvloop.run(run())
 
 
 @standins.command(name="service")
 def run_service(port: int = 0):
-    """Run a plain service's stand-in."""
+    """Run a stand-in for a plain service."""
 
     async def run():
-        await standin.serve(service.Service().application(), port, _stop_asked())
+        await standin.serve(service.Service().application(), port, _stop_event())
 
     uvloop.run(run())
 
 
 @app.command(name="proxy")
 def run_proxy(target: str):
-    """Run a fault-injecting proxy before an address, as HOST:PORT."""
+    """Run a fault-injecting proxy in front of an address, given as HOST:PORT."""
     host, port = target.split(":")
 
     async def run():
-        await proxy.Proxy(host, int(port)).serve(_stop_asked())
+        await proxy.Proxy(host, int(port)).serve(_stop_event())
 
     uvloop.run(run())
 
 
 def _serve(application, port):
     async def run():
-        await standin.serve(application, port, _stop_asked())
+        await standin.serve(application, port, _stop_event())
 
     uvloop.run(run())
 
 
-def _stop_asked():
+def _stop_event():
     """Return an event that SIGTERM and SIGINT set."""
-    stop_asked = asyncio.Event()
+    stop_event = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop_asked.set)
-    return stop_asked
+        loop.add_signal_handler(number, stop_event.set)
+    return stop_event
 
 
-def _progress():
-    begun = time.monotonic()
+def _make_progress():
+    started_at = time.monotonic()
 
     def show(line):
-        print(f"[{time.monotonic() - begun:5.1f} s] {line}", flush=True)
+        print(f"[{time.monotonic() - started_at:5.1f} s] {line}", flush=True)
 
     return show
 
--- a/packages/lab/sesamespindle/lab/proxy.py
+++ b/packages/lab/sesamespindle/lab/proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy that delays, cuts, freezes, or drops one direction."""
+"""A TCP proxy that injects network faults."""
 
 import asyncio
 import contextlib
@@ -14,7 +14,12 @@
 
 
 class Mode(enum.StrEnum):
-    """What the proxy does with bytes."""
+    """What the proxy does with the bytes of its connections.
+
+    PASS forwards them. FREEZE holds both directions until the mode changes.
+    DROP_ANSWERS and DROP_REQUESTS discard the bytes of one direction. REFUSE closes
+    the listening socket, so that new connections are refused.
+    """
 
     PASS = "pass"
     FREEZE = "freeze"
@@ -24,11 +29,12 @@
 
 
 class Proxy:
-    """Passes TCP connections on to one address, as the faults allow.
+    """Forwards TCP connections to one address, subject to the faults that are set.
 
-    Faults: ``mode``, one of `Mode`; ``delay``, seconds before each chunk;
-    ``cut``, which ends all connections at once; ``cut_after_bytes``, which
-    ends each connection after that many bytes towards the target.
+    Faults: ``mode``, one of `Mode`; ``delay``, seconds before each chunk of bytes;
+    ``cut``, which aborts all connections once; ``cut_after_bytes``, which aborts all
+    connections as soon as one that was opened since has sent that many bytes to the
+    target.
     """
 
     def __init__(self, target_host, target_port):
@@ -42,82 +48,87 @@
         self._server = None
 
     def application(self):
-        """Return the aiohttp application of the proxy's door for faults."""
+        """Return the aiohttp application through which faults are set."""
         application = aiohttp.web.Application()
-        application.router.add_post("/faults", self._switch)
+        application.router.add_post("/faults", self._set_faults)
         return application
 
     @property
     def address(self):
-        """Where the proxy accepts connections, once it listens."""
+        """Return HOST:PORT at which the proxy accepts connections, once it listens."""
         return f"{_HOST}:{self._port}"
 
     def lead_to(self, host, port):
-        """Pass later connections on to another address."""
+        """Forward new connections to another address."""
         self._target = (host, port)
 
     async def __aenter__(self):
-        await self._listen()
+        await self._start_listening()
         return self
 
     async def __aexit__(self, *exc_info):
-        await self._close()
-        self._cut()
+        await self._stop_listening()
+        self._abort_all()
+
+    async def serve(self, stop_event):
+        """Serve until an event is set; print the two URLs as lines of JSON.
 
-    async def serve(self, stop_asked):
-        """Serve until told to stop; print where the two ports are."""
+        The first line has the URL of the proxy, the second that of the faults.
+        """
         async with self:
             print(json.dumps({"proxy_url": f"http://{self.address}"}), flush=True)
-            await standin.serve(self.application(), 0, stop_asked)
+            await standin.serve(self.application(), 0, stop_event)
 
-    async def _listen(self):
-        """Accept connections, after a refusal at the same port as before."""
+    async def _start_listening(self):
+        """Accept connections, at the same port as before if there was one."""
         self._server = await asyncio.start_server(self._accept, _HOST, self._port)
         self._port = self._server.sockets[0].getsockname()[1]
 
-    async def _close(self):
-        """Have the system refuse connections, as a host without the program."""
+    async def _stop_listening(self):
+        """Close the listening socket, so that the system refuses connections."""
         if self._server is not None:
             self._server.close()
             self._server = None
 
-    async def _switch(self, request):
+    async def _set_faults(self, request):
         await self.apply(await request.json())
         return aiohttp.web.json_response({"mode": self._mode})
 
     async def apply(self, faults):
-        """Change the faults that are named; the others stay."""
+        """Set the given faults; the others keep their values."""
         self._mode = Mode(faults.get("mode", self._mode))
         self._delay = faults.get("delay", self._delay)
         self._cut_after_bytes = faults.get("cut_after_bytes", self._cut_after_bytes)
         if faults.get("cut"):
-            self._cut()
+            self._abort_all()
         if self._mode is Mode.REFUSE:
-            await self._close()
+            await self._stop_listening()
         elif self._server is None:
-            await self._listen()
+            await self._start_listening()
         async with self._changed:
             self._changed.notify_all()
 
-    def _cut(self):
+    def _abort_all(self):
         for writer in list(self._writers):
             writer.transport.abort()
 
     async def _accept(self, reader, writer):
         try:
-            far_reader, far_writer = await asyncio.open_connection(*self._target)
+            target_reader, target_writer = await asyncio.open_connection(*self._target)
         except OSError:
             writer.transport.abort()
             return
-        self._writers |= {writer, far_writer}
+        self._writers |= {writer, target_writer}
         await asyncio.gather(
-            self._pump(reader, far_writer, Mode.DROP_REQUESTS, self._cut_after_bytes),
-            self._pump(far_reader, writer, Mode.DROP_ANSWERS, 0),
+            self._forward(
+                reader, target_writer, Mode.DROP_REQUESTS, self._cut_after_bytes
+            ),
+            self._forward(target_reader, writer, Mode.DROP_ANSWERS, 0),
         )
-        self._writers -= {writer, far_writer}
+        self._writers -= {writer, target_writer}
 
-    async def _pump(self, reader, writer, drop_mode, limit):
-        passed = 0
+    async def _forward(self, reader, writer, drop_mode, cut_after_bytes):
+        forwarded_bytes = 0
         with contextlib.suppress(OSError):
             while chunk := await reader.read(_CHUNK_BYTES):
                 if self._delay:
@@ -126,9 +137,9 @@
                     await self._changed.wait_for(lambda: self._mode is not Mode.FREEZE)
                 if self._mode is drop_mode:
                     continue
-                passed += len(chunk)
-                if limit and passed >= limit:
-                    self._cut()
+                forwarded_bytes += len(chunk)
+                if cut_after_bytes and forwarded_bytes >= cut_after_bytes:
+                    self._abort_all()
                     return
                 writer.write(chunk)
                 await writer.drain()
--- a/packages/lab/sesamespindle/lab/report.py
+++ b/packages/lab/sesamespindle/lab/report.py
@@ -1,4 +1,4 @@
-"""A replay's report: a table for the terminal and a page of its own."""
+"""The report of replays, as a table for the terminal and as an HTML page."""
 
 import html
 
@@ -11,6 +11,7 @@
     "CALLS P95", "REQUESTS",
 )  # fmt: skip
 _COLOURS = ("#c0392b", "#e67e22", "#8e44ad", "#2471a3", "#117a65")
+# Size of a plot, in pixels.
 _WIDTH, _HEIGHT = 720, 260
 _PERCENTILES = (10, 25, 50, 75, 90, 95, 99, 99.9)
 _PAGE = """<!doctype html>
@@ -37,18 +38,30 @@
 
 
 def text_table(summaries):
-    """Return summaries as an aligned table."""
+    """Return `measures.Summary` objects as an aligned text table."""
     return outcomes.table(_HEADINGS, [_cells(item) for item in summaries])
 
 
 def page(title, runs, summaries, judged):
-    """Return the report as one page without outside parts."""
+    """Return the report as one HTML page that loads nothing else.
+
+    Parameters
+    ----------
+    title : str
+        The name of the example.
+    runs : list of replay.Run
+        The replays, one for each routing policy.
+    summaries : list of measures.Summary
+        The rows of the comparison.
+    judged : list of tuple
+        The checked outcomes, as `measures.judge` returns them.
+    """
     accounts = sorted({item.arrival.account for item in runs[-1].outcomes})
     by_account = [measures.summarize(runs[-1], name) for name in accounts]
     return _PAGE.format(
         title=html.escape(title),
         summaries=_html_table(_HEADINGS, [_cells(item) for item in summaries]),
-        judged=_judged(judged),
+        judged=_outcome_list(judged),
         percentiles=_percentile_plot(runs),
         links=_link_plot(runs[-1]),
         accounts=_html_table(_HEADINGS, [_cells(item) for item in by_account]),
@@ -84,7 +97,7 @@
     return f"<table><tr>{head}</tr>{body}</table>"
 
 
-def _judged(judged):
+def _outcome_list(judged):
     rows = [
         f"<li{'' if held else ' class=missed'}>{html.escape(item['name'])}: "
         f"{measured:.2f}, {'held' if held else 'missed'}</li>"
@@ -96,12 +109,12 @@
 def _percentile_plot(runs):
     series = []
     for run in runs:
-        made = measures.histogram(
+        time_histogram = measures.histogram(
             item.first_token_seconds
             for item in run.outcomes
             if item.answered and item.arrival.kind == "prompt"
         )
-        values = [made.get_value_at_percentile(at) for at in _PERCENTILES]
+        values = [time_histogram.get_value_at_percentile(at) for at in _PERCENTILES]
         series.append((run.name, list(enumerate(values))))
     return _plot(series, "ms, at percentiles " + ", ".join(map(str, _PERCENTILES)))
 
@@ -125,15 +138,15 @@
 def _plot(series, label):
     points = [point for _, line in series for point in line]
     if not points:
-        return "<p>Nothing to plot.</p>"
-    most_x = max(x for x, _ in points) or 1
-    most_y = max(y for _, y in points) or 1
+        return "<p>No data to plot.</p>"
+    max_x = max(x for x, _ in points) or 1
+    max_y = max(y for _, y in points) or 1
     lines = []
     for index, (name, line) in enumerate(series):
         colour = _COLOURS[index % len(_COLOURS)]
         path = " ".join(
-            f"{40 + x / most_x * (_WIDTH - 60):.1f},"
-            f"{_HEIGHT - 20 - y / most_y * (_HEIGHT - 40):.1f}"
+            f"{40 + x / max_x * (_WIDTH - 60):.1f},"
+            f"{_HEIGHT - 20 - y / max_y * (_HEIGHT - 40):.1f}"
             for x, y in line
         )
         lines.append(
@@ -143,5 +156,5 @@
         )
     return (
         f'<svg width="{_WIDTH}" height="{_HEIGHT}">{"".join(lines)}'
-        f'<text x="0" y="14">{most_y:.0f}</text></svg><p>{html.escape(label)}</p>'
+        f'<text x="0" y="14">{max_y:.0f}</text></svg><p>{html.escape(label)}</p>'
     )
--- a/packages/lab/sesamespindle/lab/slopes.py
+++ b/packages/lab/sesamespindle/lab/slopes.py
@@ -1,4 +1,7 @@
-"""Measuring what the decision logic costs as its tables grow."""
+"""Measurements of how the costs of the decision logic grow with its tables.
+
+The logic runs alone: without processes, network or platform.
+"""
 
 import dataclasses
 import datetime
@@ -18,12 +21,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Size:
-    """How large the tables are.
+    """The size of a fleet.
 
     Attributes
     ----------
     entries, data_centres, targets, accounts : int
-        Rows of each kind.
+        The number of rows in the table of each kind.
     """
 
     entries: int
@@ -34,122 +37,131 @@
 
 @dataclasses.dataclass(frozen=True)
 class Cost:
-    """What one operation costs.
+    """The cost of one operation.
 
     Attributes
     ----------
     microseconds : float
-        Processor time of one operation, the median of several runs.
+        Processor time of one operation, the median of several series.
     message_bytes : float
-        Bytes that it sends and gets, before the transport's own.
+        Bytes of the messages sent and received, without transport overhead.
     """
 
     microseconds: float
     message_bytes: float = 0.0
 
 
-class Bench:
-    """A daemon's decision logic in a fleet of a given size."""
+class DecisionBenchmark:
+    """The decision logic of one daemon, filled with a fleet of a given size.
+
+    Parameters
+    ----------
+    size : Size
+        The size of the fleet.
+    """
 
     def __init__(self, size):
         self.size = size
         self.now = _START
         self.me = _entry(0, size)
         self.core = core.Core(self.me, seed=1)
-        self.feed(events.DeclarationsAdopted(1, declarations(size)))
-        self.feed(events.HostsListed(_hosts(size)))
+        self.step(events.DeclarationsAdopted(1, declarations(size)))
+        self.step(events.HostsListed(_hosts(size)))
         members = tuple(
             _member(number, size, heartbeat=1) for number in range(1, size.entries)
         )
-        self.feed(
+        self.step(
             gossip.GossipAnswered(
                 "peer", gossip.GossipMessage("entry-1", "dc-1", members=members)
             )
         )
 
-    def feed(self, *happened):
-        """Step the logic and return its commands."""
-        return self.core.step(self.now, happened)
+    def step(self, *new_events):
+        """Run one step of the logic on events; return the commands it gives."""
+        return self.core.step(self.now, new_events)
 
     def prompt_cost(self):
-        """Return the `Cost` of one prompt from arrival to end."""
-        self._grant_everything()
+        """Return the `Cost` of one prompt, from its arrival to its end."""
+        self._grant_slices()
         return Cost(_microseconds(self._run_prompt, 400))
 
     def gossip_cost(self):
-        """Return the `Cost` of one round begun here and answered by a peer."""
-        peer = Bench.__new__(Bench)
+        """Return the `Cost` of one gossip round started here and answered by a peer.
+
+        It includes the work of both daemons.
+        """
+        peer = DecisionBenchmark.__new__(DecisionBenchmark)
         peer.__init__(self.size)
         sizes = []
 
         def run():
             self.now += datetime.timedelta(milliseconds=500)
             peer.now = self.now
-            sent = self.core.membership
-            sent.spread(self.now)
+            membership = self.core.membership
+            membership.spread(self.now)
             for command in self.core.state.take_commands():
                 if isinstance(command, commands.GossipTo):
-                    sizes.append(self._answer(peer, command))
+                    sizes.append(self._exchange_gossip(peer, command))
                     return
 
         cost = _microseconds(run, 40)
         return Cost(cost, statistics.mean(sizes) if sizes else 0.0)
 
     def tick_cost(self):
-        """Return the `Cost` of one tick between rounds of gossip."""
-        self._grant_everything()
-        self.feed(events.Tick())
+        """Return the `Cost` of one tick between gossip rounds."""
+        self._grant_slices()
+        self.step(events.Tick())
 
         def run():
-            self.feed(events.Tick())
+            self.step(events.Tick())
 
         return Cost(_microseconds(run, 100))
 
-    def owner_cost(self):
-        """Return the `Cost` of one account's ask and grant, at its owner."""
-        mine = [
+    def slice_cost(self):
+        """Return the `Cost` of a slice request and its grant at the account's owner."""
+        owned_accounts = [
             row.name
             for row in self.core.state.accounts
             if self.core.state.owner(row.name).name == self.me.name
         ]
-        account = mine[0] if mine else "account-0"
-        numbers = iter(range(1, 1_000_000))
+        account = owned_accounts[0] if owned_accounts else "account-0"
+        request_numbers = iter(range(1, 1_000_000))
         holders = [f"entry-{number}" for number in range(1, 4)]
         for holder in holders:
-            self._ask(account, holder, next(numbers))
+            self._request_slice(account, holder, next(request_numbers))
         for name in holders + [f"entry-{n}" for n in range(self.size.entries)]:
-            self.feed(events.HoldingsTold(name, 1, (account,), (), True))
+            self.step(events.HoldingsTold(name, 1, (account,), (), True))
 
         def run():
-            number = next(numbers)
-            self._ask(account, holders[number % 3], number)
+            number = next(request_numbers)
+            self._request_slice(account, holders[number % 3], number)
 
         ask = events.SliceAsk(account, events.Resource.PROMPTS, 1, 2, 2, 1)
         size = sum(item.ByteSize() for item in peermessages.asks_to_wire([ask]))
         return Cost(_microseconds(run, 300), 2.0 * size)
 
-    def _ask(self, account, holder, number):
+    def _request_slice(self, account, holder, number):
         ask = events.SliceAsk(account, events.Resource.PROMPTS, 1, 2, 2, 1)
-        self.feed(events.SlicesAsked(str(number), holder, 1, number, (ask,)))
+        self.step(events.SlicesAsked(str(number), holder, 1, number, (ask,)))
 
-    def _answer(self, peer, command):
-        """Pass one half of a round to a peer, and its answer back."""
+    def _exchange_gossip(self, peer, command):
+        """Deliver a gossip message to a peer and the replies back; return the bytes."""
         size = peermessages.gossip_to_wire(command.message, 1, self.now).ByteSize()
-        for reply in peer.feed(gossip.GossipReceived("x", command.message)):
+        for reply in peer.step(gossip.GossipReceived("x", command.message)):
             if isinstance(reply, commands.GossipReply):
                 size += peermessages.gossip_to_wire(
                     reply.message, 1, self.now
                 ).ByteSize()
-                self.feed(gossip.GossipAnswered("peer", reply.message))
+                self.step(gossip.GossipAnswered("peer", reply.message))
         return size
 
-    def _grant_everything(self):
+    def _grant_slices(self):
         for index in range(min(self.size.accounts, 15)):
             name = f"account-{index}"
             resource = events.Resource.PROMPTS
             self.core.slices.need(name, resource, self.now)
             grant = events.SliceGrant(name, resource, 50, 1)
-            self.feed(events.SlicesGranted(self.now, (), (grant,)))
+            self.step(events.SlicesGranted(self.now, (), (grant,)))
 
     def _run_prompt(self):
         request_id = f"r{self.core.state.random.random()}"
@@ -163,17 +175,17 @@
             100,
             self.now + datetime.timedelta(minutes=1),
         )
-        for command in self.feed(arrival):
+        for command in self.step(arrival):
             if isinstance(command, commands.SendPrompt):
                 attempt = command.attempt
-                self.feed(events.FirstToken(request_id, 0, _TOKENS))
-                self.feed(
+                self.step(events.FirstToken(request_id, 0, _TOKENS))
+                self.step(
                     events.AttemptEnded(request_id, attempt, events.Ending.COMPLETED)
                 )
 
 
 def declarations(size):
-    """Return declarations of a given size."""
+    """Return declarations for a fleet of a given size."""
     pools = [f"pool-{index}" for index in range(_MODELS)]
     return declared.Declarations(
         contracts=tuple(
@@ -200,27 +212,27 @@
     )
 
 
-def bytes_of(make):
-    """Return what `make()` holds, in bytes, and keep nothing."""
+def allocated_bytes(make):
+    """Return the memory, in bytes, allocated by the result of `make()`."""
     gc.collect()
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
-    made = make()
+    result = make()
     gc.collect()
     after, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    del made
+    del result
     return after - before
 
 
 def _microseconds(run, count):
-    """Return the processor time of one run: the median of several series."""
+    """Return the processor time of one run, as the median of several series."""
     series = []
     for _ in range(_REPEATS):
-        begun = time.process_time()
+        started_at = time.process_time()
         for _ in range(count):
             run()
-        series.append((time.process_time() - begun) / count * 1e6)
+        series.append((time.process_time() - started_at) / count * 1e6)
     return statistics.median(series)
 
 
--- a/packages/lab/sesamespindle/lab/store_host.py
+++ b/packages/lab/sesamespindle/lab/store_host.py
@@ -1,4 +1,4 @@
-"""A stand-in for a store host: segments of KV cache behind a limited link."""
+"""A stand-in for a store host: segments of KV cache behind a link of limited rate."""
 
 import asyncio
 import collections
@@ -13,7 +13,19 @@
 
 @dataclasses.dataclass
 class Segment:
-    """Consecutive blocks of one chain; readable only once committed."""
+    """Consecutive blocks of one chain of block ids.
+
+    Lookups return it only once it is committed.
+
+    Attributes
+    ----------
+    name : str
+        The name that the store host gave it.
+    ids : list of str
+        The ids of its blocks, in order.
+    data : bytes
+        The KV cache of all blocks, as it was written.
+    """
 
     name: str
     ids: list
@@ -22,16 +34,22 @@
 
 
 class StoreHost:
-    """Keeps segments in memory up to a capacity, oldest out first.
+    """Keeps segments in memory and evicts the least recently used ones when full.
 
     Parameters
     ----------
     capacity_blocks : int
-        The blocks that it has room for.
+        The capacity, in blocks.
     block_bytes : int
-        The modelled size of a block on the link.
+        The simulated size of a block on the link.
     link_bytes_per_second : float
-        The modelled rate of the link, for both directions together.
+        The simulated rate of the link, for both directions together.
+
+    Notes
+    -----
+    Faults: ``full``, new segments are refused; ``corrupt``, data is read as zeros;
+    ``truncate``, half of the data is missing when read; ``link_factor``, how many
+    times slower than its rate the link is.
     """
 
     def __init__(self, capacity_blocks, block_bytes, link_bytes_per_second):
@@ -41,7 +59,7 @@
         self._link = asyncio.Lock()
         self._segment_by_name = collections.OrderedDict()
         self._segment_by_block = {}
-        self._names = itertools.count(1)
+        self._segment_numbers = itertools.count(1)
         self._counts = collections.Counter()
         self._faults = standin.Faults(
             full=False, corrupt=False, truncate=False, link_factor=1.0
@@ -51,25 +69,25 @@
         """Return the aiohttp application."""
         application = aiohttp.web.Application(client_max_size=64_000_000)
         route = application.router
-        route.add_post("/segments", self._begin)
-        route.add_put("/segments/{name}/data", self._write)
+        route.add_post("/segments", self._create_segment)
+        route.add_put("/segments/{name}/data", self._write_data)
         route.add_post("/segments/{name}/commit", self._commit)
-        route.add_get("/segments/{name}/data", self._read)
+        route.add_get("/segments/{name}/data", self._read_data)
         route.add_post("/lookup", self._lookup)
         route.add_get("/counts", self._show_counts)
         self._faults.add_route(application)
         return application
 
-    async def _begin(self, request):
+    async def _create_segment(self, request):
         ids = (await request.json())["ids"]
         if self._faults["full"]:
             return aiohttp.web.json_response({"error": "full"}, status=507)
-        self._make_room(len(ids))
-        segment = Segment(f"segment-{next(self._names)}", ids)
+        self._free_capacity(len(ids))
+        segment = Segment(f"segment-{next(self._segment_numbers)}", ids)
         self._segment_by_name[segment.name] = segment
         return aiohttp.web.json_response({"name": segment.name})
 
-    async def _write(self, request):
+    async def _write_data(self, request):
         segment = self._segment_by_name.get(request.match_info["name"])
         if segment is None:
             raise aiohttp.web.HTTPNotFound
@@ -79,11 +97,13 @@
         return aiohttp.web.json_response({})
 
     async def _commit(self, request):
-        """Make a segment readable, once its data is whole: the manifest is last."""
+        """Add a segment to the index, if its data matches the checksum."""
         segment = self._segment_by_name.get(request.match_info["name"])
         checksum = (await request.json())["checksum"]
         if segment is None or checksum != hashlib.sha256(segment.data).hexdigest():
-            return aiohttp.web.json_response({"error": "not whole"}, status=409)
+            return aiohttp.web.json_response(
+                {"error": "unknown segment or wrong checksum"}, status=409
+            )
         segment.committed = True
         self._counts["committed"] += 1
         for block_id in segment.ids:
@@ -91,7 +111,7 @@
         return aiohttp.web.json_response({})
 
     async def _lookup(self, request):
-        """Return the segments that hold the longest beginning of a chain."""
+        """Return the segments that hold the longest prefix of a chain of block ids."""
         ids = (await request.json())["ids"]
         segments = []
         blocks = 0
@@ -121,7 +141,7 @@
             }
         )
 
-    async def _read(self, request):
+    async def _read_data(self, request):
         segment = self._segment_by_name.get(request.match_info["name"])
         if segment is None:
             raise aiohttp.web.HTTPNotFound
@@ -142,11 +162,12 @@
             await asyncio.sleep(size / self._rate * self._faults["link_factor"])
         self._counts["link_bytes"] += size
 
-    def _make_room(self, blocks):
+    def _free_capacity(self, blocks):
         used = sum(len(segment.ids) for segment in self._segment_by_name.values())
         while used + blocks > self._capacity and self._segment_by_name:
             _, oldest = self._segment_by_name.popitem(last=False)
-            # The way in goes first, so that no reader finds freed data.
+            # Remove the blocks from the index before the data is freed, so that no
+            # lookup returns an evicted segment.
             for block_id in oldest.ids:
                 if self._segment_by_block.get(block_id) is oldest:
                     del self._segment_by_block[block_id]
