--- a/packages/decide/sesamespindle/decide/admission.py
+++ b/packages/decide/sesamespindle/decide/admission.py
@@ -58,10 +58,12 @@
         free = slots - usage.running - self._queue.waiting(account.name)
         if free > 0:
             return _NO_WAIT
+        # The slots free up one by one, on average `holding_time / slots` apart. A new
+        # request needs the first of them and one for each request that is ahead of it.
         return usage.holding_time * ((1 - free) / max(slots, 1))
 
     def push(self, account, request_id, now):
-        """Queue a request, and request a larger slice if it needs one."""
+        """Queue a request, and ask for a larger slice if this one is now too small."""
         self._queue.push(account, request_id)
         self._slices.need(account, self._resource, now)
 
@@ -97,7 +99,7 @@
     def _has_slot(self, name, now):
         account = self._state.accounts.get(name)
         if account is None:
-            # The contract has ended. The request leaves the queue to be refused.
+            # The contract has ended. The request is dequeued, so that it is refused.
             return True
         running = account.usage_by_resource[self._resource].running
         return running < self._slices.slots(account, self._resource, now)
--- a/packages/decide/sesamespindle/decide/calls.py
+++ b/packages/decide/sesamespindle/decide/calls.py
@@ -13,9 +13,9 @@
     tables,
 )
 
-# Keys are kept for longer than a claim of this daemon's own is trusted to be unused
-# (see `_is_own_unused`): the key shows whether a call was made under such a claim, so
-# it must still be there when the claim is checked.
+# A claim of this daemon's own for which it has no key is considered unused until it is
+# this old (see `_is_own_unused`). Keys are kept for longer, since a missing key is
+# taken to mean that no call was sent under the claim.
 _CLAIM_TRUSTED_FOR = datetime.timedelta(hours=1)
 _KEY_RETENTION = 2 * _CLAIM_TRUSTED_FOR
 _MAX_TARGETS_TRIED = 4
@@ -40,9 +40,10 @@
     target: str = ""
     tried: set[str] = dataclasses.field(default_factory=set)
     may_have_run: bool = False
-    # The same for all attempts of the call, also when its caller changes the key.
+    # Identifies the request in crash detection. All attempts of the call have the same
+    # one, also when its caller changes the key.
     request_fingerprint: str = ""
-    # The target incarnation that it was last sent to, and when.
+    # The target incarnation that the call was last sent to, and when.
     life: lives.Life | None = None
     sent_at: datetime.datetime | None = None
 
@@ -57,7 +58,7 @@
     Attributes
     ----------
     nonce : str
-        Tells the claim of this key from others of the same entry.
+        Distinguishes the claim of this key from other claims of the same entry.
     taken_at : datetime.datetime
         When the key was first seen here.
     answer : events.StoredAnswer or None
@@ -149,9 +150,9 @@
     def may_outlast_host(self, deadline):
         """Return whether this host is leaving and may end before a call does.
 
-        Guards against a booking that is cut off when the host ends, so that nobody
-        knows whether it was made. The deadline is compared, as it is the only known
-        bound on the call's duration.
+        Guards against a call, for example a booking, that is cut off when the host
+        ends, so that nobody knows whether it ran. The deadline is compared, as it is
+        the only known bound on the call's duration.
         """
         departure = self._state.departure
         return departure is not None and departure.may_cut_off(deadline)
@@ -444,6 +445,7 @@
         else:
             self._crashes.broke(row.request_fingerprint, row.life, row.sent_at, now)
         may_retry = row.repeatable and not timed_out
+        # This attempt counts as one possible crash; after a second there is no retry.
         if self._quarantine.suspicion(row.request_fingerprint) > 1:
             may_retry = False
         if may_retry and self._state.budget_by_pool[row.pool].spend():
--- a/packages/decide/sesamespindle/decide/coldtargets.py
+++ b/packages/decide/sesamespindle/decide/coldtargets.py
@@ -2,9 +2,9 @@
 
 A cold target can handle only a few requests a second. With more it crashes, and its
 memory and runs are lost. The limit is on the requests of all hosts together, far below
-one request a second from each host, and it includes hosts that can't reach each other.
-So only one host sends to each cold target, and all hosts find the same one without
-communication, by rendezvous hashing.
+one request a second from each host, and it must hold although some hosts can't reach
+each other. So only one host sends to each cold target, and all hosts find the same one
+without communication, by rendezvous hashing.
 """
 
 from sesamespindle.decide import hashing
@@ -33,14 +33,15 @@
         self._state = state
         self._crashes = crashes
         self._settled_after = settled_after
+        # A cache, valid as long as `state.view` is `_cached_view`.
         self._sender_by_incarnation = {}
-        self._senders_view = None
+        self._cached_view = None
 
     def narrow(self, rows, service, now):
         """Return the targets, out of some, that may get a request from this host now.
 
-        A target that has perhaps restarted, and would then be cold, is left out as
-        long as there are others.
+        A target that may have restarted, and would then be cold, is returned only if
+        there is no other to return.
 
         Parameters
         ----------
@@ -60,13 +61,13 @@
             if not self.is_cold(row, now)
             and not self._may_have_restarted(row, cold_start, now)
         ]
-        own_cold = [
+        sendable_cold = [
             row
             for row in rows
             if self.is_cold(row, now) and self._may_send(row, cold_start, now)
         ]
-        if warm or own_cold:
-            return warm + own_cold
+        if warm or sendable_cold:
+            return warm + sendable_cold
         return [row for row in rows if not self.is_cold(row, now)]
 
     def is_cold(self, row, now):
@@ -82,15 +83,16 @@
         """Return whether a target may have restarted cold, unknown to this host.
 
         Guards against all hosts sending to a target that has just restarted: it
-        accepts requests again before its new record is known everywhere, and crashes
-        under more requests than a cold target can handle. So a target that refused
-        connections or crashed is doubted for as long as a cold target stays cold.
+        accepts requests again before all hosts have received its new record in the
+        target list, and crashes under more requests than a cold target can handle. So
+        a target that refused connections or crashed is treated as one that may be
+        cold, for as long as a cold target stays cold.
         """
-        doubted_since = now - cold_start.lasts
-        if row.refused_at is not None and row.refused_at > doubted_since:
+        cold_if_restarted_after = now - cold_start.lasts
+        if row.refused_at is not None and row.refused_at > cold_if_restarted_after:
             return True
         crash = self._crashes.crash_of(row.life)
-        return crash is not None and crash.at > doubted_since
+        return crash is not None and crash.at > cold_if_restarted_after
 
     def _may_send(self, row, cold_start, now):
         """Return whether this host may send to a cold target now."""
@@ -119,8 +121,8 @@
         other dead, and each side would choose a sender of its own. A target whose
         sender is dead gets no requests until it is warm.
         """
-        if self._senders_view != self._state.view:
-            self._senders_view = self._state.view
+        if self._cached_view != self._state.view:
+            self._cached_view = self._state.view
             self._sender_by_incarnation.clear()
         if incarnation not in self._sender_by_incarnation:
             names = [entry.name for entry in self._state.entries]
--- a/packages/decide/sesamespindle/decide/contexts.py
+++ b/packages/decide/sesamespindle/decide/contexts.py
@@ -1,7 +1,9 @@
 """Tracks which targets are likely to hold the context of earlier prompts.
 
-A context is identified by its chain of block ids, see `hashing.chain`. The tracking may
-be wrong without harm: the target itself decides what it reuses, by the full chain.
+A context is identified by its chain of block ids, see `hashing.chain`. Targets are
+remembered only by the checkpoints of a chain, which are some of its block ids, see
+`hashing.checkpoints`. The tracking may be wrong without harm: the target itself decides
+what it reuses, by the full chain.
 """
 
 import collections
@@ -26,7 +28,7 @@
     target : str
         The target's name.
     at : datetime.datetime
-        When it had just processed the chain.
+        When the target processed the chain.
     """
 
     target: str
--- a/packages/decide/sesamespindle/decide/crashes.py
+++ b/packages/decide/sesamespindle/decide/crashes.py
@@ -14,15 +14,17 @@
 # A request whose caller disconnected at most this long before the crash may have caused
 # it, so it counts as a suspect too.
 _ABANDONED_SHORTLY_BEFORE = datetime.timedelta(seconds=1)
-# Two hosts' timestamps of one event may differ by this much, as gossip carries them as
-# ages that each host converts by its own clock.
+# Two hosts' timestamps of one event may differ by this much: gossip carries the age of
+# an event, and each host converts it to a time by its own clock.
 _CLOCK_TOLERANCE = datetime.timedelta(seconds=1)
-# The number of latest crashes that are remembered, and for how long. A request that
+# How many of the latest crashes are remembered, and for how long. A request that
 # crashes targets may come again after minutes.
 MAX_CRASHES = 128
 _RETENTION = datetime.timedelta(hours=1)
+# A request is a repeated suspect from this many crashes on.
 _REPEATED_FROM = 2
-# A crash is announced in this many gossip rounds; see `world.VERSION_ROUNDS`.
+# A crash is announced in this many gossip rounds, for the same reason as a weight
+# version; see `world.VERSION_ROUNDS`.
 _ANNOUNCED_ROUNDS = 10
 # Limits of one gossip message: the number of crashes, the number of cleared requests,
 # and the suspects of all its crashes together, at 18 bytes each. A host may use 20 KB/s
@@ -101,13 +103,13 @@
 
 
 class Crashes:
-    """Distinguishes crashes from broken links, and records which requests ran there.
+    """Distinguishes crashes from broken links, and records the requests in flight.
 
     A crash takes two things: a connection broke while a request was in flight, and the
     target's incarnation ended. It has ended when it refuses connections, when another
     incarnation is at its address, or when the target list has another in its place. It
-    is no crash if the target drains, was taken off the list, or if this host was paused
-    while the request was in flight.
+    isn't counted as a crash if the target was draining or off the target list, or if
+    this host was paused while the request was in flight.
 
     Parameters
     ----------
@@ -156,15 +158,16 @@
     def broke(self, fingerprint, life, sent_at, now):
         """Record a run whose connection broke before its answer was complete.
 
-        Guards against requests that are suspected although no target crashed under
-        them. After a pause of this host, its targets may have ended for reasons of
-        their own. A target that drains ends with its long runs cut off. Other targets
-        are taken off the list before they end. Such runs are not recorded.
+        Guards against requests that are suspected although they were not in flight in
+        a crash. While this host was paused, targets may have ended for other reasons.
+        A target that drains cuts off its long runs when it ends. Some targets are taken
+        off the target list before they end. Runs in these cases are not recorded.
 
         Parameters
         ----------
         fingerprint : str
-            Of the request; empty if it isn't known, then nothing is recorded.
+            The request's fingerprint. Nothing is recorded if it is empty, that is, not
+            known.
         life : lives.Life
             The incarnation that the run was sent to.
         sent_at, now : datetime.datetime
@@ -251,10 +254,11 @@
     def answered(self, life, sent_at):
         """Record that an incarnation answered a request.
 
-        Guards against a broken link that is taken for a crash, so that the link's
-        requests become suspects. The incarnation is alive if it answers what was sent
-        after the link broke. An answer to something sent before the break proves
-        nothing, as it may have been waiting here when the target crashed.
+        Guards against a broken link that is taken for a crash, so that the requests on
+        that link become suspects. The incarnation is alive if it answers a request that
+        was sent after the link broke. An answer to a request sent before the break
+        proves nothing, as it may have been received but not yet handled by this host
+        when the target crashed.
 
         Parameters
         ----------
@@ -271,7 +275,7 @@
             self._refute(crash)
 
     def is_over(self, life):
-        """Record that an incarnation has ended: a crash if runs broke off there."""
+        """Record that an incarnation has ended; it is a crash if runs broke there."""
         broken = self._broken_runs_by_life.pop(life, None)
         if broken is None:
             return
@@ -286,8 +290,8 @@
     def possible_crashes(self, fingerprint):
         """Return the number of possible crashes of a request.
 
-        These are incarnations at which its run broke off and whose end is not yet
-        confirmed.
+        These are the incarnations at which a run of the request broke and whose end is
+        not yet confirmed.
         """
         return sum(
             fingerprint in broken.fingerprints
@@ -371,7 +375,7 @@
             if len(crashed_lives) >= _REPEATED_FROM:
                 self._repeated.add(fingerprint)
         self._announce(crash)
-        self._note_crash(crash, fingerprints)
+        self._log_crash(crash, fingerprints)
 
     def _announce(self, crash):
         crash.rounds = _ANNOUNCED_ROUNDS
@@ -412,7 +416,8 @@
     def _crash_records(self, crashes):
         """Yield the records of crashes, latest first, until the message is full.
 
-        Suspects of several crashes come first, as the cause is one of them.
+        Suspects of several crashes come first, as the request that causes the crashes
+        is one of them.
         """
         free = _MAX_ANNOUNCED_SUSPECTS
         for crash in reversed(crashes):
@@ -458,7 +463,7 @@
         if received.is_refuted and not known.is_refuted:
             self._refute(known)
 
-    def _note_crash(self, crash, fingerprints):
+    def _log_crash(self, crash, fingerprints):
         names = ", ".join(sorted(fingerprints))
         self._state.emit(
             commands.Note(
--- a/packages/decide/sesamespindle/decide/departure.py
+++ b/packages/decide/sesamespindle/decide/departure.py
@@ -11,16 +11,17 @@
 # With a short time until its end, a host stops accepting all requests after this share
 # of it, so that the last ones still have two thirds of the time to be answered.
 _ACCEPT_ALL_SHARE = 1 / 3
-# The end of the grace time that is reserved for closing connections, which takes 0.2 s
-# on a simulated host: reserving more would cut off long answers that are nearly
-# complete. In a short grace time it is half of the last sixth, because no answer may
-# be abandoned before the last sixth starts.
+# How much of the end of the grace time is reserved for closing connections, which takes
+# 0.2 s on a simulated host: reserving more would cut off long answers that are nearly
+# complete. With a short grace time it is this share instead, half of the last sixth: no
+# answer may be abandoned before the last sixth of the grace time.
 _CLOSING_TIME = datetime.timedelta(milliseconds=300)
 _CLOSING_SHARE = 1 / 12
 # The longest delay, as a share of the grace time, that is assumed between the arrival
-# of an order to leave and its handling. It is less than the other half of the last
-# sixth, so that a host that assumes too early an arrival still ends inside that sixth.
-# A host that was frozen for longer can't know when the order arrived.
+# of an order to leave and its handling. A host that was frozen for longer can't know
+# when the order arrived, and assumes this delay. If the order came later, the host ends
+# too early by at most this share. That is less than the first half of the last sixth,
+# so the host still ends within that sixth.
 _MAX_HANDLING_DELAY_SHARE = 1 / 16
 
 
@@ -36,7 +37,8 @@
     Attributes
     ----------
     open_until : datetime.datetime
-        Until then all requests are accepted, as callers can't know yet.
+        Until then all requests are accepted, as callers can't know yet that the host is
+        leaving.
     ends_at : datetime.datetime
         When every request gets its final answer and the process ends.
     is_over : bool
@@ -69,7 +71,7 @@
         until : datetime.datetime
             The request's deadline.
         now : datetime.datetime
-            The present.
+            The current time.
         """
         accepts_all = not self.is_over and now < self.open_until
         return accepts_all or not self.may_cut_off(until)
@@ -79,8 +81,8 @@
     """Return the earliest time at which an order to leave may have arrived.
 
     Guards against a busy host that counts its grace time from when it handles the
-    order: the grace time started when the order arrived, so the process would be killed
-    before its last answers are sent.
+    order. The grace time started earlier, when the order arrived, so the process would
+    be killed before its last answers are sent.
 
     Parameters
     ----------
