--- a/packages/decide/sesamespindle/decide/evacuations.py
+++ b/packages/decide/sesamespindle/decide/evacuations.py
@@ -1,4 +1,7 @@
-"""Evacuated data centres, whose targets get no requests until an operator lifts it."""
+"""Evacuated data centres, whose targets get no requests.
+
+An evacuation lasts until an operator lifts it.
+"""
 
 import dataclasses
 
@@ -7,7 +10,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EvacuationsListed:
-    """The list of all evacuated data centres was read.
+    """The host has received the list of all evacuated data centres.
 
     Attributes
     ----------
@@ -89,7 +92,7 @@
             self._adopt(data_centre, is_listed, listed.revision, now)
 
     def _adopt(self, data_centre, is_evacuated, revision, now):
-        """Set whether a data centre is evacuated, unless something later is known.
+        """Set whether a data centre is evacuated, unless a later change is known.
 
         Guards against an evacuation that was lifted and comes back by an older event
         that arrives late, from a peer that is behind. Such an event has a lower
@@ -111,10 +114,10 @@
         self._state.emit(commands.Note(kind, data_centre))
 
     def _treat_as_cold(self, row, revision, now):
-        """Treat a target as cold until a later record of its own says otherwise.
+        """Treat a target as cold until a later record of the target says otherwise.
 
         Guards against all hosts sending to the targets of a data centre at once when
-        its evacuation is lifted: the targets may have turned cold meanwhile, and a
+        its evacuation is lifted: the targets may have become cold meanwhile, and a
         cold target crashes under more requests than it can handle. The record that
         says that a target is cold may arrive only after the evacuation is lifted.
         """
--- a/packages/decide/sesamespindle/decide/fairqueue.py
+++ b/packages/decide/sesamespindle/decide/fairqueue.py
@@ -8,7 +8,8 @@
 
     Each account has its own queue and a virtual time. Each request taken from the
     queue advances the virtual time by 1 / weight, and the account with the lowest
-    one is served next. So a long queue of one account doesn't delay the others.
+    virtual time is served next. So a long queue of one account doesn't delay the
+    others.
     """
 
     def __init__(self):
@@ -63,5 +64,7 @@
     def _drop_if_empty(self, account):
         if account in self._ids_by_account and not self._ids_by_account[account]:
             del self._ids_by_account[account]
+            # A virtual time that isn't ahead of the present one has no effect: `push`
+            # would raise it to the present one.
             if self._virtual_time_by_account[account] <= self._virtual_now:
                 del self._virtual_time_by_account[account]
--- a/packages/decide/sesamespindle/decide/flights.py
+++ b/packages/decide/sesamespindle/decide/flights.py
@@ -47,7 +47,7 @@
 
     @property
     def affinity(self):
-        """The id that all requests of one context share, or an empty string.
+        """The id that all requests with the same shared parts have, or "".
 
         The last part of a prompt belongs to the request alone, so this is the id of
         the part before it.
@@ -61,7 +61,7 @@
 
     @property
     def held_tokens(self):
-        """Tokens whose KV cache an engine holds until the run ends, at most."""
+        """The most tokens whose KV cache an engine holds until the run ends."""
         return self.prompt_tokens + self.answer_tokens
 
 
@@ -76,7 +76,8 @@
     until : datetime.datetime
         Its deadline: the end of the route's timeout, or the caller's if sooner.
     fingerprint : str
-        The same for all attempts of the same request; empty if it is unknown.
+        Identifies the request in crash detection. All attempts of the same request
+        have the same one; it is empty if it is unknown.
     life : lives.Life or None
         The target incarnation of its last send.
     sends : int
@@ -90,7 +91,7 @@
     version : int or None
         The weight version of its last send; None for plain services.
     has_begun : bool
-        Whether an answer to its last send has begun.
+        Whether an answer to its last send has begun to arrive.
     """
 
     request: Request
--- a/packages/decide/sesamespindle/decide/gateway.py
+++ b/packages/decide/sesamespindle/decide/gateway.py
@@ -1,4 +1,4 @@
-"""The decision logic of an entry host on a platform that lists its own targets."""
+"""The decision logic of an entry host on a platform that publishes a target list."""
 
 import dataclasses
 import datetime
@@ -36,14 +36,14 @@
     budget : budgets.BudgetRule
         The retry budget of each service, for the whole fleet.
     lease_time : datetime.timedelta
-        The least time between the last order of one lease holder and the first
-        order of the next.
+        The least time between the last order to engines by one lease holder and the
+        first order by the next.
     weights_within : datetime.timedelta
         Time after the announcement of a weight version from which no run may
         begin on an older one.
     contact_time : datetime.timedelta
         Grace period after a host's start in which such limits don't apply to it,
-        as it has to learn the state first.
+        as it has yet to receive the current state.
     """
 
     budget: budgets.BudgetRule
@@ -68,7 +68,7 @@
 
 
 class Gateway:
-    """All decisions of one daemon on the platform; it does no input or output.
+    """Makes all decisions of one daemon on the platform; does no input or output.
 
     Parameters
     ----------
@@ -238,7 +238,8 @@
 
     def _tick(self, now):
         if self.forwarding.configuration is None:
-            # The platform may be refusing this host; peers may have a configuration.
+            # The platform may refuse to answer this host, but peers may have a
+            # configuration.
             self.membership.spread(now)
         self.weights.tick(now)
         self.crashes.tick(now)
@@ -255,8 +256,9 @@
         """Publish this host's URL to peers and callers once it can serve requests.
 
         Guards against callers being directed to a host that has just started and
-        has no configuration, because the platform refuses it: it would refuse all
-        their requests. Without a URL a host is in no list that callers get.
+        has no configuration, because the platform refuses to answer it. The host
+        would refuse all their requests. A host without a URL is in no list that
+        callers get.
         """
         me = self.state.entries.get(self.state.me.name)
         if me.url or not self.is_ready():
--- a/packages/decide/sesamespindle/decide/kvstores.py
+++ b/packages/decide/sesamespindle/decide/kvstores.py
@@ -30,8 +30,8 @@
 # time, so that a link that has become slow costs less than a prefill of the prompt.
 _TIMEOUT_FACTOR = 2.0
 _TIMEOUT_BASE = datetime.timedelta(milliseconds=120)
-# Factor on the time of transfers between data centres, which takes twice as long.
-# Between regions it would take ten times as long.
+# A transfer between data centres takes this many times as long as within one. Between
+# regions it would take ten times as long.
 _CROSS_DATA_CENTRE_FACTOR = 2.0
 # Parts of superseded weights are freed this long after the last engine has moved on to
 # newer ones: no fetch of such a part begins after that, and a fetch ends within a
@@ -129,7 +129,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreHeard:
-    """A store answered, but not with what it holds: it refused the request."""
+    """A store refused a request for what it holds, which shows that it responds."""
 
     store: str
 
@@ -198,7 +198,7 @@
     changes : list of Changes
         The latest changes without a gap, for peers that lack some of them.
     heard_at : datetime.datetime or None
-        When the store last answered; None if it doesn't answer.
+        When the store last answered; None if it never did, or doesn't answer now.
     status_at : datetime.datetime or None
         When this host or a peer last found out whether the store answers.
     clock_lead : float or None
@@ -226,16 +226,16 @@
         return self.heard_at is not None and now - self.heard_at < limit
 
     def note_status(self, status_at, is_silent, clock_lead):
-        """Note that the store answered at a time, or didn't answer then.
+        """Note whether the store answered.
 
         Parameters
         ----------
         status_at : datetime.datetime
-            The time.
+            When it answered, or was found not to answer.
         is_silent : bool
             Whether the store didn't answer.
         clock_lead : float or None
-            The engines' clock, as in the attribute; None to keep what is known.
+            As in the attribute; None to keep the known value.
         """
         self.status_at = status_at
         self.heard_at = None if is_silent else status_at
@@ -376,7 +376,7 @@
 
 
 class KvStores:
-    """Keeps what each store holds, and plans transfers.
+    """Keeps a record of what each store holds, and plans transfers.
 
     A part is fetched only from a store that has reported all of its tokens. Only parts
     of weights that no engine runs any more are freed, so a part that is planned for a
@@ -403,7 +403,7 @@
         self._free_requested_at_by_store = {}
 
     def adopt(self, configuration):
-        """Take over the stores of a configuration.
+        """Use the stores of a configuration from now on.
 
         What is known of a store is kept as long as its address stays the same.
         """
@@ -463,7 +463,8 @@
         row.note_status(now, False, clock_lead)
         is_known = event.boot == row.boot and 0 < event.position < row.position
         if not is_known:
-            # Otherwise peers sent later changes while the request was in flight.
+            # The answer of the store is not older than what is known. It is older if
+            # peers sent later changes while the request to the store was in flight.
             row.apply(event)
 
     def plan(self, engines, engine_row, preferred_row, salt, parts, now):
@@ -556,8 +557,9 @@
     def _plan_save(self, rows, salt, part, near, now):
         """Return the address of the store to save a part to, or None.
 
-        The save is noted, so that later prompts neither save the part again nor take
-        its capacity for free. Stores in the engine's data centre go first.
+        The save is recorded, so that later prompts neither save the part again nor
+        count on the capacity that it will use. Stores in the engine's data centre are
+        preferred.
         """
         key = salt, part.part_id
         for row in rows:
--- a/packages/decide/sesamespindle/decide/lives.py
+++ b/packages/decide/sesamespindle/decide/lives.py
@@ -7,9 +7,9 @@
 class Life:
     """One incarnation of a target.
 
-    A target may restart under the same name, and then has lost all its state.
-    So what is known of a target, gossiped about it or in flight at it belongs to one
-    incarnation.
+    A target may restart under the same name, and has then lost all its state. So all
+    that is known or gossiped about a target, and each request in flight to it, belongs
+    to one incarnation.
 
     Attributes
     ----------
