--- a/packages/decide/sesamespindle/decide/namings.py
+++ b/packages/decide/sesamespindle/decide/namings.py
@@ -30,7 +30,7 @@
         announced yet, or None if no such time is known. The version's age counts from
         here in both cases.
     is_sure : bool
-        Whether a host received the announcement as it was made.
+        Whether a host received the announcement just when it was made.
     """
 
     model: str
@@ -63,12 +63,12 @@
 
     @property
     def told(self):
-        """The records whose age is gossiped, each from when it is known here.
+        """The records whose age is gossiped, each as soon as it is known here.
 
         Guards against peers that refuse the older weights too early: a peer learns by
-        gossip that there is a change, reads the new version by way of this host, and
-        has to consider it of any age until it receives the age as well. So the age is
-        sent from the same moment on as the change.
+        gossip that there is a change and reads the new version by way of this host.
+        Until it also receives the age, it has to assume that the version may be of any
+        age. So the age is sent from the same moment on as the change.
         """
         return tuple(
             naming
@@ -107,8 +107,9 @@
 def _merge(known, other):
     """Return the merged record of two records of the same version.
 
-    Of two hosts that received the announcement as it was made, the earlier time is
-    nearer to the truth. Of two times at which it hadn't been made yet, the later is.
+    Of the times at which two hosts received the announcement just when it was made, the
+    earlier is closer to the actual time. Of two times at which it hadn't been made yet,
+    the later is closer.
     """
     if known.is_sure != other.is_sure:
         return known if known.is_sure else other
--- a/packages/decide/sesamespindle/decide/placement.py
+++ b/packages/decide/sesamespindle/decide/placement.py
@@ -19,7 +19,7 @@
 # Wait in seconds that is expected at an engine which is loading weights, as it
 # refuses all requests meanwhile.
 _LOADING_WAIT_SECONDS = 3.0
-# Share of an answer's value that a late first token costs, 0.8 for all prompts.
+# Share of an answer's value that a late first token costs. It is 0.8 for all prompts.
 # Estimates of the time to first token are off by up to half. So the expected cost
 # rises linearly from 0 at 0.5 times the latency goal to this share at 1.5 times.
 _LATE_COST = 0.8
@@ -33,8 +33,9 @@
 # is much less.
 _RECOMPUTE_COST = 0.12
 # An engine whose KV cache memory runs out preempts a run and recomputes its prompt:
-# the answer is late and its prefill is paid twice. So known runs may fill this share
-# of the memory; the rest covers prompts that peers sent and haven't announced yet.
+# the answer is late and its prompt is prefilled twice. So known runs may fill this
+# share of the memory; the rest covers prompts that peers sent and haven't announced
+# yet.
 _MEMORY_FILL_SHARE = 0.85
 _FULL_MEMORY_COST = 0.6
 # How long a prompt may wait at an engine with full memory until a run there ends.
@@ -43,10 +44,11 @@
 _MEMORY_WAIT_SECONDS = 3.0
 # How long the pending work that a peer announced is counted.
 _PEER_WORK_LIFETIME = datetime.timedelta(seconds=1.5)
-# Seconds that a failed call costs, about those of a whole second attempt; multiplied
-# by the target's failure rate.
+# Seconds that a failed call costs, about as many as a whole second attempt takes. They
+# are multiplied by the target's failure rate.
 _FAILURE_SECONDS = 1.0
-# Seconds that a call to another data centre costs: about two crossings of the link.
+# Seconds that a call to another data centre takes longer. The request and the answer
+# each cross the link between the data centres, so it is about twice the link's latency.
 _CROSSING_SECONDS = 0.003
 # Service time that is assumed until one has been observed at a target.
 _DEFAULT_SERVICE_SECONDS = 0.04
@@ -71,7 +73,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Work:
-    """What the choice of an engine needs to know of a prompt.
+    """The properties of a prompt that the choice of an engine depends on.
 
     Attributes
     ----------
@@ -139,10 +141,10 @@
 def ranked(rows, key):
     """Return targets in the order of their rendezvous weight for a key.
 
-    Guards against all hosts choosing the same one of many equal engines: while a
-    context's preferred engine is unavailable, they would all take the first in the
-    list, which gets far more prompts than the others. With an order that depends on
-    the key, different contexts spread over all engines.
+    Guards against all hosts choosing the same one of many equal engines. While a
+    context's preferred engine is unavailable, they would all take the first engine of
+    the list, and it would get far more prompts than the others. With an order that
+    depends on the key, different contexts spread over all engines.
     """
     row_by_name = {row.name: row for row in rows}
     return [row_by_name[name] for name in hashing.rank(key, row_by_name)]
--- a/packages/decide/sesamespindle/decide/prompts.py
+++ b/packages/decide/sesamespindle/decide/prompts.py
@@ -27,7 +27,8 @@
     Attributes
     ----------
     ids : tuple of str
-        The ids of its KV cache blocks, each of which covers all text up to it.
+        The ids of its KV cache blocks. Each id depends on all text up to the end of its
+        block.
     home_key : str
         What rendezvous hashing ranks the engines by: the account and the context.
     attempt : int
@@ -39,8 +40,8 @@
     version : str
         The weight version that generated its first token; empty before that.
     resume_target : str
-        The target of a stream that another entry began, so that the text
-        already delivered isn't known here; empty for a prompt begun here.
+        The target of a stream that another entry began; empty for a prompt that was
+        begun here. Text that the other entry delivered isn't known here.
     delivered : int
         Tokens that the caller already has.
     """
@@ -65,7 +66,7 @@
     delivered: int = 0
     version: str = ""
     fingerprint: str = ""
-    # The target incarnation that it was last sent to, and when.
+    # The target incarnation that the prompt was last sent to, and when.
     life: lives.Life | None = None
     sent_at: datetime.datetime | None = None
 
@@ -132,8 +133,9 @@
             refusals.refuse_quarantined(state, event.request_id, refusal)
             return
         if state.departure is not None and state.departure.is_over:
-            # Until then a leaving host accepts prompts of any duration: one that is
-            # cut off can be resumed or sent again at another entry.
+            # Until its departure is over, a leaving host accepts prompts of any
+            # duration: one that is cut off can be resumed or sent again at another
+            # entry.
             refusals.refuse_leaving(state, event.request_id)
             return
         wait = self._admission.expected_wait(account, now)
@@ -388,7 +390,10 @@
         return store.url if store else ""
 
     def _resume(self, row, target, now):
-        """Reconnect to the same stream, so that no token is generated twice."""
+        """Reconnect to the same stream, so that no token is generated twice.
+
+        The first reconnection is immediate, later ones are delayed.
+        """
         policy = self._state.policy
         if target is None or row.resumes >= policy.resume_attempts:
             self._note_failure(target, now)
--- a/packages/decide/sesamespindle/decide/readings.py
+++ b/packages/decide/sesamespindle/decide/readings.py
@@ -1,8 +1,8 @@
 """Finds out how old an object may be that a host reads from the platform.
 
 A host reads objects by listing them and by watches, which are long polls for changes.
-An answer doesn't say when an object was created; how long ago that can have been
-follows from the reading before.
+An answer doesn't say when an object was created. An object that wasn't in the previous
+answer was created after the previous reading.
 """
 
 import dataclasses
@@ -11,10 +11,10 @@
 from sesamespindle.decide import weights
 
 # If a watch is answered only after this long, there was no change when it began, so
-# the change in its answer has just happened. Changes that were there before are
-# answered at once: in 4 ms, or in 0.25 s while the platform is slow.
+# the change in its answer has just happened. Changes from before the watch are answered
+# at once: in 4 ms, or in 0.25 s while the platform is slow.
 _PUSHED_AFTER = datetime.timedelta(seconds=0.5)
-# An object that wasn't there this long ago counts as created now. The error is less
+# An object that didn't exist this long ago counts as created now. The error is less
 # than the margin that `weights` leaves between its last runs on superseded weights
 # and the end of the time allowed for those.
 _NEW_WITHIN = datetime.timedelta(seconds=1)
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reading:
-    """How old the new objects may be in an answer of the platform or a peer.
+    """How old the new objects in an answer of the platform or a peer may be.
 
     Attributes
     ----------
@@ -34,7 +34,7 @@
         The latest time at which the new objects are known not to have existed; None
         if they may be of any age.
     is_just_now : bool
-        Whether that time is so recent that the objects count as created now.
+        Whether `not_there_at` is so recent that the objects count as created now.
     """
 
     source: str
@@ -62,10 +62,10 @@
     """Remembers when each kind of object was last read from the platform.
 
     Guards against old objects that count as new: an answer waited in a buffer while
-    the process was paused, or an object was there before the process started. The
-    host would then go on sending prompts to weights that were superseded long ago.
-    So an object counts as old as the reading before it, or as of any age if there
-    was none.
+    the process was paused, or an object existed before the process started. The host
+    would then go on sending prompts to weights that were superseded long ago. So an
+    object counts as created at the previous reading of its kind, or as of any age if
+    there was none.
 
     Parameters
     ----------
--- a/packages/decide/sesamespindle/decide/retries.py
+++ b/packages/decide/sesamespindle/decide/retries.py
@@ -6,11 +6,11 @@
 BUDGET_RATIO = 0.1
 BUDGET_BURST = 10.0
 _JITTER = 0.5
-# The pause after a failed call to the platform. It is short enough for several
-# calls within the time that a change may take to arrive, and long enough that
-# hundreds of hosts stay below the platform's rate limits. After `_QUICK_RETRIES`
-# failures it doubles up to 1 s, or 1.5 s with jitter. So hosts notice the
-# platform's return within half of the 3 s after which their time limits apply again.
+# The pause after a failed call to the platform. It is short enough for several calls
+# within the time that a change may take to reach a host, and long enough that hundreds
+# of hosts stay below the platform's rate limits. After `_QUICK_RETRIES` failures it
+# doubles up to 1 s, or 1.5 s with jitter. So once the platform is available again,
+# hosts notice it within half of the 3 s after which their time limits apply again.
 _OUTAGE_PAUSE = datetime.timedelta(milliseconds=250)
 _QUICK_RETRIES = 4
 _MAX_DOUBLINGS = 2
@@ -54,7 +54,7 @@
 
 
 def spread(base, random):
-    """Return a random time between `base` and 1.5 times `base`, drawn evenly.
+    """Return a uniformly distributed random time from `base` to 1.5 times `base`.
 
     Parameters
     ----------
--- a/packages/decide/sesamespindle/decide/routes.py
+++ b/packages/decide/sesamespindle/decide/routes.py
@@ -11,7 +11,7 @@
 
     # Runs may be repeated.
     IDEMPOTENT = "idempotent"
-    # At most one run, also after a failure.
+    # A request runs at most once, also if that run fails.
     ONCE = "once"
     # A stream that another target can continue after the last complete event.
     RESUMABLE = "resumable"
@@ -40,7 +40,7 @@
     max_attempts : int
         The most runs of one request that targets may begin.
     rank : int
-        Urgency, 0 first.
+        Urgency of its requests; 0 is the most urgent.
     shares : tuple of Share
         The services that the requests are split among.
     """
@@ -146,7 +146,8 @@
     Attributes
     ----------
     rank : int or None
-        Urgency of its requests, 0 first; compared before the rank of the route.
+        Urgency of its requests; 0 is the most urgent. It takes precedence over the
+        rank of the route.
     isolated : bool
         Whether its KV cache is kept apart from that of all other accounts.
     """
@@ -185,7 +186,7 @@
         }
 
     def match(self, host, path):
-        """Return the route with the longest prefix of a path, or None.
+        """Return the route whose prefix is the longest that a path has, or None.
 
         Parameters
         ----------
