--- a/packages/decide/sesamespindle/decide/sliceowner.py
+++ b/packages/decide/sesamespindle/decide/sliceowner.py
@@ -1,4 +1,7 @@
-"""The slices of accounts' limits that this entry grants as their owner."""
+"""The slices of accounts' limits that this entry grants as their owner.
+
+An ask is an entry's request for a slice. The entry that holds a slice is its holder.
+"""
 
 import dataclasses
 import datetime
@@ -8,7 +11,7 @@
 # A placeholder in `OwnedRow.unreported` for a holder that can't be asked: an earlier
 # incarnation of an entry, or an entry that this daemon doesn't know yet.
 _UNKNOWN_HOLDER = ""
-# The longest time that an ask waits until the owner knows the slices in use.
+# How long an ask is delayed at most while the owner doesn't know all slices in use.
 _MAX_ASK_WAIT = datetime.timedelta(milliseconds=400)
 
 
@@ -23,7 +26,7 @@
     slots : int
         The slots granted.
     expires_at : datetime.datetime
-        Until when the owner counts them.
+        Until when the owner counts the slots as used.
     """
 
     number: int
@@ -57,9 +60,9 @@
         """Return the most slots that the entry may be using.
 
         Guards against a smaller grant whose message is lost. The entry goes on using
-        the larger grant before it until that expires, and together with a slice made of
-        the difference it would exceed the limit. So the largest grant that is neither
-        expired nor replaced counts.
+        its earlier, larger grant until that expires. If the difference were granted to
+        another entry meanwhile, both together would exceed the limit. So the largest
+        grant that is neither expired nor replaced counts.
         """
         slots = [
             item.slots for item in self.outstanding_grants if item.expires_at > now
@@ -92,7 +95,7 @@
     unreported : set of str
         Entries that may hold slices of an earlier owner and have not reported them.
     all_expired_at : datetime.datetime
-        When all slices of an earlier owner have expired in any case.
+        When all slices of an earlier owner have expired at the latest.
     slice_by_holder : dict
         Slices by name and incarnation of their holder. A new incarnation doesn't take
         over the slices of the old one, whose requests may still run at the targets.
@@ -113,7 +116,7 @@
     Attributes
     ----------
     until : datetime.datetime
-        When they are answered in any case.
+        When they are answered at the latest.
     """
 
     event: events.SlicesAsked
@@ -136,6 +139,7 @@
         self._holder = holder
         self.owned: tables.Table[OwnedRow] = tables.Table("key")
         self._waiting_asks = []
+        # Leaves 2**20 numbers to each incarnation, so that a later one's are higher.
         self._next_grant = state.me.incarnation << 20
         self._last_tick = None
 
@@ -176,8 +180,8 @@
 
         Guards against an owner that was paused while another entry took over, and that
         then grants slices beside the new owner, so that both exceed the limit. By its
-        own clock its slices have expired and the whole limit is free. Without its rows
-        it learns first which slices are in use.
+        own clock the slices that it granted have expired and the whole limit is free.
+        Without its rows it first has to ask which slices are in use.
         """
         paused_for = now - (self._last_tick or now)
         self._last_tick = now
--- a/packages/decide/sesamespindle/decide/startupprobes.py
+++ b/packages/decide/sesamespindle/decide/startupprobes.py
@@ -7,9 +7,10 @@
 # a live peer replies within some milliseconds. Three rounds allow for a lost message
 # and for a stall of two rounds on either side.
 UNANSWERED_ROUNDS = 3
-# Rounds in which a peer is contacted in all, also after it has failed: a peer that was
-# only slow counts as live again from its first reply. Afterwards, and for peers that
-# were heard from, the usual limit of twice `suspect_after` applies.
+# The total number of rounds in which a peer is contacted. This goes on after the peer
+# has failed: one that was only slow counts as live again from its first reply.
+# Afterwards, and for peers that have gossiped with this daemon or with others, the
+# usual limit of twice `suspect_after` applies.
 CONTACTED_ROUNDS = 10
 
 
@@ -34,14 +35,15 @@
 
     Guards against callers that are given a lost host for long. A daemon that starts
     can't learn when the host was last heard from: heartbeats aren't sent between data
-    centres, and a record in the platform's list has none. A silence counted from the
-    daemon's start begins at zero with each start. Here the daemon contacts the peer
-    itself in each gossip round, and counts unanswered rounds in place of time.
+    centres, and a record in the platform's list has none. A timeout that is counted
+    from the daemon's start would begin anew with each start. So the daemon contacts
+    the peer itself in each gossip round, and counts unanswered rounds instead of time.
 
-    A pause of the daemon itself makes no live peer fail: each counted round starts an
-    interval after the one before, and the last round leaves the peer an interval in
-    which the daemon runs to reply. A peer that was paused is live again with its next
-    message, because its heartbeat is then above that of the record that calls it dead.
+    A live peer doesn't fail because the daemon itself was paused: counted rounds start
+    at least an interval apart, and after the last one the peer has an interval to
+    reply in which the daemon runs. A peer that was paused is live again with its next
+    message, because its heartbeat is then higher than in the record that states it as
+    dead.
 
     Parameters
     ----------
@@ -69,7 +71,7 @@
         """Give peers another interval to reply after a pause of this daemon.
 
         Guards against live peers that fail although their replies have arrived: a
-        daemon that wakes from a pause judges its peers before it reads its messages.
+        daemon that resumes after a pause checks its peers before it reads its messages.
         """
         if self._last_tick is not None and now - self._last_tick >= self._interval:
             for probe in self._probe_by_name.values():
--- a/packages/decide/sesamespindle/decide/streams.py
+++ b/packages/decide/sesamespindle/decide/streams.py
@@ -19,7 +19,8 @@
     text : str
         The text of the token.
     last : bool
-        Whether it is the end mark, whose sequence number follows the last token's.
+        Whether it is the end mark: a piece without a token, whose sequence number is
+        one above that of the last token.
     finish_reason : str
         Why the answer ended.
     """
--- a/packages/decide/sesamespindle/decide/targetlist.py
+++ b/packages/decide/sesamespindle/decide/targetlist.py
@@ -14,8 +14,8 @@
 # used if no listed one is left. This is half of the shortest time that users allow
 # between a removal and the last request that reaches the target.
 _MISSING_KEPT_FOR = datetime.timedelta(seconds=1)
-# Records that expired while the platform was unavailable reappear within 2 s of its
-# return, as the platform states; the other half second is for reading them.
+# Records that expired while the platform was unavailable reappear within 2 s after it
+# is available again, as the platform states. The other 0.5 s are for reading them.
 _EXPIRED_KEPT_FOR = datetime.timedelta(seconds=2.5)
 _NOT_COLD = datetime.timedelta(0)
 
@@ -31,8 +31,8 @@
     born : int or None
         Start time, in milliseconds since the epoch; None where the record has none.
     cold_for : datetime.timedelta or None
-        The rest of its warm-up, in which it handles few requests; None for the time
-        that its service declares.
+        The rest of its warm-up, in which it can handle only few requests; None if the
+        warm-up lasts as long as its service declares.
     """
 
     name: str
@@ -54,7 +54,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetsListed:
-    """The platform's whole list of targets was read."""
+    """The host has received the platform's whole list of targets."""
 
     targets: tuple[ListedTarget, ...]
 
@@ -83,7 +83,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetUnreadable:
-    """Another writer has changed a target's record, which now describes no target.
+    """A writer other than the target has changed its record.
+
+    The record no longer describes a target.
 
     Attributes
     ----------
@@ -212,7 +214,7 @@
                 )
 
     def _set_aside(self, name, revision):
-        """Send a target no request until its own record is listed again.
+        """Stop the use of a target until its own record is listed again.
 
         Does nothing if a later record of the target is already known.
         """
@@ -227,8 +229,8 @@
     def _adopt(self, target, start_times_are_known, now):
         """Adopt a target's record, unless a later one is known.
 
-        Guards against an outdated record of an incarnation that has ended: an old copy
-        of the list would put its row in place of that of the running incarnation.
+        Guards against an outdated record of an incarnation that has ended: with an old
+        copy of the list, its row would replace that of the running incarnation.
 
         Parameters
         ----------
@@ -277,7 +279,7 @@
             self._state.emit(commands.Note("target_leaving", row.name, "listed"))
 
     def _adopt_cold_time(self, row, target, now):
-        """Set until when a target is cold, by a record newer than the known one."""
+        """Set until when a target is cold, from a record newer than the known one."""
         cold_for = target.cold_for
         if cold_for is None:
             cold_start = self._state.cold_start_by_service.get(row.pool)
--- a/packages/decide/sesamespindle/decide/world.py
+++ b/packages/decide/sesamespindle/decide/world.py
@@ -25,9 +25,9 @@
 # forwards it.
 VERSION_ROUNDS = 10
 # A target's record that was refuted is ignored for this long. The record of a crashed
-# target expires after three heartbeats of 1.2 s. One that is listed for longer is kept
-# up by another writer and contradicts the answer of the target at the address, so
-# requests are sent there again to find out.
+# target expires after three heartbeats of 1.2 s. If a refuted record is listed for
+# longer, another writer renews it, in contradiction to the answer of the target at the
+# address. Then requests are sent to the address again to find out which is right.
 _REFUTED_FOR = datetime.timedelta(seconds=10)
 
 
@@ -38,9 +38,9 @@
     Attributes
     ----------
     queue_patience : datetime.timedelta
-        The longest expected wait for a slot with which a request is still queued.
+        A request is refused if its expected or actual wait for a slot is longer.
     first_token_patience : datetime.timedelta
-        The longest expected time to first token with which a prompt is still sent.
+        A prompt is refused if its expected time to first token is longer.
     resume_attempts : int
         How often the connection to one stream is resumed after it was lost.
     max_attempts : int
