--- a/packages/decide/sesamespindle/decide/budgets.py
+++ b/packages/decide/sesamespindle/decide/budgets.py
@@ -22,7 +22,8 @@
     slack : float
         Retries allowed in any window in addition, whatever the number of requests.
     window : datetime.timedelta
-        Length of the sliding window.
+        Length of the sliding window for which the limit is stated. `SharedBudgets`
+        doesn't read it, as its token buckets limit windows of any length.
     """
 
     ratio: float = 0.2
@@ -49,7 +50,7 @@
         self._budget_by_service = {}
 
     def earn(self, service, entries):
-        """Add the tokens of a new request.
+        """Add the tokens that a new request earns for retries.
 
         Parameters
         ----------
--- a/packages/decide/sesamespindle/decide/catalogue.py
+++ b/packages/decide/sesamespindle/decide/catalogue.py
@@ -27,8 +27,8 @@
 
         Guards against a stale read of the platform, or a stale peer, that reverts a
         change, so that an account may do what its contract no longer allows. Other
-        revisions are ignored, and revision numbers come only from the head object,
-        whose number only rises.
+        revisions are ignored, and revision numbers come only from the head: the one
+        platform object that lists the active documents. Its number only rises.
         """
         state = self._state
         if event.revision <= state.revision:
@@ -116,9 +116,10 @@
             self.leave(host.name)
 
     def _list_entry(self, host, now):
-        """Add an entry, or a new incarnation of one, that gossip hasn't announced yet.
+        """Add an entry, or a later incarnation of one, that isn't in the table yet.
 
-        Gossip is more recent for the entries that it has announced.
+        A row of the same or a later incarnation stays as it is: gossip keeps it up to
+        date, and is more recent than the platform's list.
         """
         entries = self._state.entries
         known = entries.get(host.name)
--- a/packages/decide/sesamespindle/decide/commands.py
+++ b/packages/decide/sesamespindle/decide/commands.py
@@ -8,7 +8,10 @@
 
 
 class Outcome(enum.StrEnum):
-    """Whether a refused request has run, as far as a caller can rely on it."""
+    """Whether a refused request has run.
+
+    `NOT_RUN` is only given if it certainly hasn't; otherwise it is `UNKNOWN`.
+    """
 
     NOT_RUN = "not_run"
     UNKNOWN = "unknown"
@@ -135,7 +138,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TakeClaim:
-    """Write a claim to the platform.
+    """Write a claim, the idempotency record of a key, to the platform.
 
     Attributes
     ----------
@@ -152,7 +155,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SettleClaim:
-    """Write to the claim how its run ended.
+    """Update a claim with how the run that it protects ended.
 
     Attributes
     ----------
@@ -215,12 +218,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AskSlices:
-    """Ask an owner for slices of accounts' limits.
+    """Ask an owner for slices of accounts' limits; for both terms see `slices`.
 
     Attributes
     ----------
     sequence : int
-        Rises with every message of this incarnation.
+        Rises with every such message of this incarnation of the daemon.
     """
 
     peer_address: str
--- a/packages/decide/sesamespindle/decide/core.py
+++ b/packages/decide/sesamespindle/decide/core.py
@@ -50,7 +50,9 @@
             resource: admission.Admission(self.state, resource, self.slices)
             for resource in events.Resource
         }
+        # Declared targets restart under the same name and report no start time.
         self.crashes = crashes.Crashes(self.state, names_return=True)
+        # This platform stores no quarantine records; the hosts keep them in memory.
         self.quarantine = quarantine.Quarantine(
             self.state, self.crashes, is_written=False
         )
