--- a/packages/decide/sesamespindle/decide/events.py
+++ b/packages/decide/sesamespindle/decide/events.py
@@ -79,7 +79,7 @@
     Attributes
     ----------
     as_of : datetime.datetime
-        When the target took the report, by this daemon's clock.
+        When the target made the report, by this daemon's clock.
     backlog_tokens : int
         The prompt tokens that wait for prefill.
     running : int
@@ -124,7 +124,7 @@
     tokens : int
         The prompt tokens.
     answer_tokens : int
-        The tokens that the answer may have.
+        The most tokens that the answer may have.
     cache_hint : str
         The caller's name for the context; may be empty.
     resume : StreamPosition or None
@@ -223,7 +223,9 @@
     Attributes
     ----------
     ending : Ending
-        `NOT_SENT` only if no byte of the request can have left this host.
+        `NOT_SENT` only if no byte of the request can have left this host. `LINK_LOST`
+        if the connection broke or went idle after the request may have arrived.
+        `STREAM_GONE` if the target no longer has the stream, or refuses to resume it.
     delivered : int
         The tokens that the caller has received.
     retry_after : datetime.timedelta or None
@@ -332,7 +334,8 @@
     ends_at : datetime.datetime
         When the daemon ends at the latest.
     asked_at : datetime.datetime or None
-        The earliest time at which the daemon can have been asked; None for now.
+        The earliest time at which the daemon can have been asked; None if that is
+        the time at which the event is handled.
     """
 
     ends_at: datetime.datetime
--- a/packages/decide/sesamespindle/decide/forwarding.py
+++ b/packages/decide/sesamespindle/decide/forwarding.py
@@ -135,7 +135,7 @@
         until = now + route.timeout
         if request.deadline is not None:
             until = min(until, request.deadline)
-        if self._must_leave_to_others(route, until, now):
+        if self._must_refuse_when_leaving(route, until, now):
             return self._refuse_leaving(request, until, now)
         account_name = account.name if account is not None else ""
         fingerprint = self._fingerprints.of(account_name, request.content)
@@ -182,7 +182,7 @@
             flight.runs += 1
         if self._may_retry(flight, ending, maybe_ran, now):
             return self._send(flight, now, ending)
-        return self._give_up(flight, ending, now)
+        return self._final_answer(flight, ending, now)
 
     def first_byte(self, request_id, now):
         """Record that the answer to a request has begun."""
@@ -201,7 +201,7 @@
             _note_service_time(row, now - flight.sent_at)
 
     def tick(self, now):
-        """Withdraw sends that have not begun by the last time their weights may start.
+        """Withdraw sends on superseded weights that have not begun by their deadline.
 
         Guards against runs that begin on weights superseded too long ago. A prompt
         is sent in time, but waits at its engine longer than expected, for memory or
@@ -210,16 +210,16 @@
         connection closes, so a withdrawn one can't begin later.
         """
         for flight in self.flight_by_request.values():
-            replaced = self._replacement(flight)
-            if replaced is None or flight.has_begun or now < replaced.begun_by:
+            replacement = self._replacement(flight)
+            if replacement is None or flight.has_begun or now < replacement.begun_by:
                 continue
-            age = replaced.describe_age(now)
+            age = replacement.describe_age(now)
             self._state.emit(
                 sends.Withdraw(
                     flight.request.request_id,
                     flight.sends,
                     f"not begun on version {flight.version}, {age} after "
-                    f"version {replaced.version} was named",
+                    f"version {replacement.version} was announced",
                 )
             )
 
@@ -228,7 +228,7 @@
 
         Returns
         -------
-        replaced : weights.Replacement or None
+        replacement : weights.Replacement or None
             None also for calls to plain services, which have no weights.
         """
         if flight.sent_at is None or flight.version is None:
@@ -300,22 +300,22 @@
     def _send(self, flight, now, ending=None):
         """Choose a target and return the send, or the final answer if none fits."""
         if flight.until - now < _MIN_TIME_LEFT:
-            return self._give_up(flight, ending, now)
+            return self._final_answer(flight, ending, now)
         service = self.configuration.service_by_name.get(flight.service)
         rows = self._candidates(flight, service, now)
         if not rows:
             code = commands.Code.NO_TARGET
             if self._quarantine.suspicion(flight.fingerprint) > 1:
                 code = commands.Code.SUSPECTED
-            return self._give_up(flight, ending, now, code)
+            return self._final_answer(flight, ending, now, code)
         if not _is_engine_prompt(flight, service):
             row = placement.choose_plain(rows, self._state.me.data_centre, now)
             return self._start(flight, row, None, now)
         place = self._prompt_placement.choose(flight, service.engines, rows, now)
         if place is None:
-            return self._give_up(flight, ending, now, commands.Code.NO_TARGET)
+            return self._final_answer(flight, ending, now, commands.Code.NO_TARGET)
         if self._would_wait_too_long(flight, place.row, now):
-            return self._give_up(flight, ending, now, commands.Code.OVERLOADED)
+            return self._final_answer(flight, ending, now, commands.Code.OVERLOADED)
         return self._start(flight, place.row, place, now)
 
     def _start(self, flight, row, place, now):
@@ -403,9 +403,9 @@
     def _may_retry(self, flight, ending, maybe_ran, now):
         """Return whether a request may be sent to a target once more.
 
-        Guards against a booking that runs twice. Once a byte may have reached a
-        target, and the target did not say that it left the request alone, only
-        idempotent requests and resumable streams are sent again.
+        Guards against a call that takes effect twice, such as a booking. Once a byte
+        may have reached a target, and the target did not say that it hasn't run the
+        request, only idempotent requests and resumable streams are sent again.
 
         Also guards against a request that crashes one target after the other. Once
         two targets may have crashed under it, it gets a final answer, and is sent
@@ -478,7 +478,7 @@
             row.held_by_request.pop(flight.request.request_id, None)
         flight.sent_at = None
 
-    def _give_up(self, flight, ending, now, code=None):
+    def _final_answer(self, flight, ending, now, code=None):
         """Return the final answer of a request that is not sent again.
 
         The outcome is "not run" only if no send can have run the request.
@@ -533,7 +533,7 @@
             commands.Outcome.UNKNOWN,
         )
 
-    def _must_leave_to_others(self, route, until, now):
+    def _must_refuse_when_leaving(self, route, until, now):
         """Return whether this host is leaving and must refuse the request.
 
         A call that runs at most once is refused if it may outlast the host. Other
--- a/packages/decide/sesamespindle/decide/hashing.py
+++ b/packages/decide/sesamespindle/decide/hashing.py
@@ -39,10 +39,11 @@
 
 
 def salt(account, model, version, adapter=""):
-    """Return the salt of all chains of one account, model, version and adapter.
+    """Return the salt of the block ids of one account, model, version and adapter.
 
-    The account and the weight version are part of the hash, so a block of another
-    account or version can't match, whatever the prompts contain.
+    It starts each chain of block ids, see `chain`. The account and the weight version
+    are part of the hash, so a block of another account or version can't match, whatever
+    the prompts contain.
 
     Returns
     -------
@@ -56,7 +57,7 @@
 def chain(chain_salt, text):
     """Return the ids of the full blocks of a prompt.
 
-    Each id depends on its block and all blocks before it.
+    Each id depends on its block and all blocks before it, so the ids form a chain.
 
     Parameters
     ----------
@@ -83,7 +84,7 @@
 def checkpoints(ids):
     """Return the ids of a chain at the positions 1, 2, 4, ... and at the last one.
 
-    A table by these checkpoints grows only with the logarithm of a context's length,
+    A table with these ids as keys grows only with the logarithm of a context's length,
     and still finds at least half of any shared prefix.
 
     Returns
--- a/packages/decide/sesamespindle/decide/lease.py
+++ b/packages/decide/sesamespindle/decide/lease.py
@@ -21,14 +21,14 @@
 # two live hosts of the fleet, by rendezvous hashing, are candidates.
 _READ_SHARE = 1 / 3
 _CANDIDATES = 2
-# While a lease that its holder released isn't taken, one more host becomes a stand-in
-# candidate after each such interval: a candidate that reaches the store takes the lease
-# within its duration and one read interval. The number of stand-ins is limited, as the
-# store may be unavailable for all hosts.
+# While nobody takes over a lease that its holder released, one more host becomes a
+# stand-in candidate after each interval of this length. A candidate that reaches the
+# store takes the lease within the lease's duration and one read interval. The number of
+# stand-ins is limited, as the store may be unavailable for all hosts.
 _STAND_IN_AFTER = datetime.timedelta(seconds=2)
 _MAX_STAND_INS = 6
-# An idle lease is taken over after the time of this many renewals without one. Safety
-# doesn't need this wait; it keeps a lease from changing hands for one lost call.
+# An idle lease is taken over once it wasn't renewed for this many renewal intervals.
+# Safety doesn't need this wait; it keeps a lease from changing hands for one lost call.
 _IDLE_MISSED_RENEWALS = 2.5
 _RETRY_AFTER = datetime.timedelta(milliseconds=500)
 
@@ -49,8 +49,9 @@
         The number of writes that the holder has sent, so that no two of them are
         equal.
     idle : bool
-        Whether the holder doesn't act before it has written the record again, and its
-        last act was at least a lease duration old when it sent this one.
+        Whether the holder is idle: its last act was at least a lease duration old when
+        it sent this record, and it doesn't act again before it has written the record
+        as not idle.
     """
 
     holder: str
@@ -77,9 +78,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaseFound:
-    """Event: a read returned the lease, or a write found this other revision.
+    """Event: a read returned the lease, or a write found an unexpected revision.
 
-    The record is None if the store has none.
+    `revision` is the one that the store has. The record is None if the store has none.
     """
 
     record: LeaseRecord | None
--- a/packages/decide/sesamespindle/decide/membership.py
+++ b/packages/decide/sesamespindle/decide/membership.py
@@ -36,10 +36,13 @@
 # An update about a crash starts a round at once, but no sooner than this after the
 # previous round.
 _CRASH_ROUND_GAP = datetime.timedelta(milliseconds=50)
+# Probability that a round also contacts a peer of this data centre that is dead.
 _CONTACT_DEAD_CHANCE = 0.1
 _DEAD_KEPT_FOR = datetime.timedelta(minutes=10)
 _State = events.HostState
 _GONE = (_State.LEFT, _State.DEAD)
+# The higher rank wins where records differ in nothing but the state. A suspicion isn't
+# gossiped, so a suspect ranks as live.
 _RANK_BY_STATE = {
     _State.LIVE: 0,
     _State.SUSPECT: 0,
@@ -87,8 +90,8 @@
     ):
         self._state = state
         self._quarantine = quarantine
-        # By name of a peer of this data centre: its incarnation that was last sent all
-        # known crashes.
+        # The incarnation of each peer of this data centre that was last sent all known
+        # crashes, by the peer's name.
         self._informed_incarnation_by_peer = {}
         self._store_relay = store_relay
         self._seeds = seeds
@@ -101,6 +104,8 @@
         self._digests = None
         self._digests_view = None
         self._urgent = False
+        # The pulse of a data centre: a count of the gossip rounds of its members that
+        # only rises. See `_raise_pulse`.
         self._pulse_by_data_centre = {}
         self._pulse_heard_at = {}
 
@@ -291,7 +296,7 @@
                 )
 
     def _check_responses(self, now):
-        """Suspect members of this data centre that don't respond, then call them dead.
+        """Mark members of this data centre that don't respond as suspect, then as dead.
 
         Other data centres judge their own members. A member is suspected first, so
         that one late message removes nobody from the table.
@@ -299,8 +304,8 @@
         state = self._state
         limit = state.policy.suspect_after
         for name in state.entries.keys_of("data_centre"):
-            # The silence of a data centre that is never heard from counts from when
-            # this daemon first knew of it.
+            # A data centre that has sent nothing yet counts as not responding from
+            # when this daemon first knew of it.
             self._pulse_heard_at.setdefault(name, now)
         for row in list(state.entries.where("data_centre", state.me.data_centre)):
             if row.name == state.me.name:
@@ -469,7 +474,7 @@
 
         To send the versions of all targets in every message would be most of the work
         of an idle daemon. A peer that missed an update learns the version from the
-        target's record, or from the target when it refuses a request.
+        target's record on the platform, or from the target when it refuses a request.
         """
         versions = [
             gossip.TargetVersion(row.life, model, version, row.revision)
@@ -559,13 +564,13 @@
         self._urgent = True
 
     def _merge_version(self, running):
-        """Learn a target's version, unless a later record has lowered it since."""
+        """Learn a target's version, unless its record has listed an older one since."""
         row = self._state.target_in(running.life)
         if row is not None and running.revision >= row.fell_at_revision:
             row.learn_version(running.model, running.version)
 
     def _raise_pulse(self, me):
-        """Add a round of this daemon to the pulse of its data centre.
+        """Increment the pulse of this data centre for a gossip round of this daemon.
 
         Guards against live hosts that aren't given to callers: a pulse computed from
         heartbeats falls when a host restarts or is replaced, and the data centre
