--- a/packages/decide/sesamespindle/decide/promptplacing.py
+++ b/packages/decide/sesamespindle/decide/promptplacing.py
@@ -62,7 +62,9 @@
         self._stores = stores
 
     def timely(self, flight, engines, rows, now):
-        """Return the engines at which a prompt can begin in time for their weights.
+        """Return the engines where a prompt can begin before their weights' deadline.
+
+        Only superseded weights have a deadline, see `weights.Replacement`.
 
         Guards against runs that begin on superseded weights after the time allowed
         for those: a prompt is sent in time and then waits too long at its engine. An
--- a/packages/decide/sesamespindle/decide/quarantine.py
+++ b/packages/decide/sesamespindle/decide/quarantine.py
@@ -16,9 +16,9 @@
 # The number of crashes under one request from which it is refused.
 _QUARANTINED_FROM = 3
 # The number of crashes from which a request is refused in any case, even if other
-# suspects ran beside it each time or its targets crashed together with others. At most
-# three runs after the third crash are allowed in all. They include the trial runs of
-# `_TRIALS_AFTER`, and one is left for a host that learns of the crashes late.
+# suspects ran beside it each time or its targets crashed together with others. After
+# the third crash at most three more runs are allowed in all. These include the trial
+# runs of `_TRIALS_AFTER`; one is left for a host that learns of the crashes late.
 _ALWAYS_QUARANTINED_FROM = 5
 # The number of uncorrelated crashes that a quarantine needs, as one may be chance.
 _MIN_UNCORRELATED = 2
@@ -237,8 +237,8 @@
         crash a target each: all hosts choose the same target for a suspect, by
         rendezvous hashing. It also guards against suspects that share a target, so that
         a crash doesn't show which of them caused it: suspects of two crashes get
-        different targets. If there are more of them than targets, some get none and
-        have to come again.
+        different targets. If there are more of them than targets, some get none, and
+        their callers have to retry.
 
         Parameters
         ----------
@@ -340,11 +340,11 @@
     def _is_cause(self, fingerprint, crashes):
         """Return whether a request caused the crashes under it.
 
-        Guards against harmless requests that are refused. There are three kinds.
-        Those that ran beside the cause several times: each of their crashes has
-        another suspect with as many crashes. Those that were in flight in correlated
-        crashes: targets that didn't run them crashed at the same time. Those that many
-        callers send: they ran at all targets that crashed together in one event.
+        Guards against harmless requests that are refused. There are three kinds. Some
+        ran beside the cause several times: each of their crashes has another suspect
+        with as many crashes. Some were in flight in correlated crashes: targets that
+        didn't run them crashed at the same time. Some are sent by many callers: they
+        ran at all targets that crashed together in one event.
         """
         if len(crashes) >= _ALWAYS_QUARANTINED_FROM:
             return True
@@ -400,7 +400,7 @@
     # Records of quarantined requests.
 
     def _adopt(self, record, now, how):
-        """Store a record, unless the request was cleared after it was decided."""
+        """Store a record, unless its request was cleared after `decided_at`."""
         fingerprint = record.fingerprint
         cleared_at = self._crashes.cleared_at(fingerprint, None)
         if cleared_at is not None and cleared_at >= record.decided_at:
@@ -515,8 +515,8 @@
         Parameters
         ----------
         whole : bool
-            Whether to send all crashes and clearings that are known, as to a peer that
-            has just started, and not only those that are still announced.
+            Whether to send all known crashes and all requests known to be cleared, as
+            to a peer that has just started, and not only those still announced.
         """
         crashes, cleared = self._crashes.told(whole)
         records = tuple(self.record_by_fingerprint.values())
--- a/packages/decide/sesamespindle/decide/rollout.py
+++ b/packages/decide/sesamespindle/decide/rollout.py
@@ -205,6 +205,8 @@
                 if loading and loading.ordered_after == event.expected_orders:
                     self._note_loading(loading, now)
             case ReportMissing():
+                # A missing report needs no handling: an engine that shows no progress
+                # loses its slot by time.
                 pass
             case _:
                 return False
@@ -230,8 +232,8 @@
         answer no report request or show nothing of their orders. If those kept their
         slots for seconds and then got them again before the others, the last of five
         engines got its first order 11.9 s after the announcement. So their slots go to
-        waiting engines, first to those not tried yet; then all five get an order
-        within 2.6 s, where two show nothing.
+        waiting engines, first to those not tried yet. With two such engines out of
+        five, all five then get an order within 2.6 s.
 
         An order in doubt may still be carried out, so one engine more than permitted
         may load at once. That slows loads down, but otherwise the waiting engines
--- a/packages/decide/sesamespindle/decide/storerelay.py
+++ b/packages/decide/sesamespindle/decide/storerelay.py
@@ -1,8 +1,8 @@
-"""Exchanges with peers what KV stores hold, where not every host can ask the stores.
+"""Exchanges the contents of KV stores with peers, if not all hosts can ask the stores.
 
-A store holds a limited number of requests for its changes at once (`followers` of
-`routes.KvStore`) and refuses more. A host that asks a store for its changes is a
-follower of it.
+A host that asks a store for its changes is a follower of it. It does so by long polls.
+A store keeps a limited number of them open at once (`followers` of `routes.KvStore`)
+and refuses more.
 """
 
 from sesamespindle.decide import gossip, hashing
@@ -18,15 +18,16 @@
 class StoreRelay:
     """Chooses the followers of the KV stores, and gossips what they learn.
 
-    Guards against stores that every host asks. 195 hosts and 21 stores that hold 12
-    requests each make 2,000 requests a second even at the longest pause between
+    Guards against stores that every host asks. 195 hosts and 21 stores that keep 12
+    requests open each make 2,000 requests a second even at the longest pause between
     requests; with 20 hosts, 5,000 refused or short requests a minute were charged as
-    probes. If a store can hold a request of every host, each host follows it.
-    Otherwise two hosts of each data centre do, and send their peers there what those
-    lack in the rounds of gossip.
+    probes. If a store can keep a request of every host open, each host follows it.
+    Otherwise two hosts of each data centre do, and in gossip rounds send their peers
+    there what those lack.
 
     What a peer sends may be out of date without harm: a fetch of a part that has gone
-    meanwhile is a miss at the store, and a restarted store is recognized by its boot.
+    meanwhile is a miss at the store, and a restarted store is recognized by its boot,
+    which identifies its incarnation.
 
     Parameters
     ----------
@@ -60,7 +61,7 @@
         Parameters
         ----------
         max_requests : int
-            Requests for changes that the store holds at once.
+            Requests for changes that the store keeps open at once.
         """
         entries = self._state.live_entries()
         if len(entries) <= max_requests:
@@ -101,7 +102,7 @@
         )
 
     def news_for(self, words):
-        """Return what a peer lacks of the stores' parts, as much as fits a message.
+        """Return the stores' parts that a peer lacks, as many as fit a message.
 
         Parameters
         ----------
@@ -129,7 +130,7 @@
         return tuple(updates)
 
     def hear(self, message):
-        """Merge what a peer has sent of stores that it or another host follows.
+        """Merge a peer's updates on stores, which it or another host follows.
 
         Parameters
         ----------
--- a/packages/decide/sesamespindle/decide/weights.py
+++ b/packages/decide/sesamespindle/decide/weights.py
@@ -100,7 +100,8 @@
         The time allowed: how long after an announcement runs may begin on older
         versions.
     contact_time : datetime.timedelta
-        How long a host that has just started is exempt from that bound.
+        For this long after its start a host that doesn't know when a version was
+        announced may still begin runs on older versions.
     """
 
     def __init__(self, state, in_force_within, contact_time):
@@ -171,18 +172,19 @@
         return min(1.0, _INITIAL_COST + (1.0 - _INITIAL_COST) * share)
 
     def may_begin(self, row, model, now):
-        """Return whether a run may still be sent to the version of a target."""
+        """Return whether a run may still be sent to a target with its weights."""
         newer = self.replacement(self.running(row, model), model)
         return newer is None or now < newer.send_until
 
     def replacement(self, version, model):
         """Return the `Replacement` of a version, or None while it is the newest.
 
-        The time is unknown as well if another version was announced in between that
-        this host has no record of: that one superseded the version at an earlier
-        time. If no host knows a time, because all have restarted, the deadlines count
-        from the start of this process and allow for `contact_time`. Targets load the
-        new weights meanwhile; without that time all callers would be refused.
+        The time of the announcement counts as unknown also if this host lacks the
+        record of a version announced in between: that one superseded the version at
+        an earlier time. If no host knows a time, because all have restarted, the
+        deadlines count from the start of this process and allow for `contact_time`.
+        Targets load the new weights meanwhile; without that time all callers would be
+        refused.
         """
         naming = self._state.namings.first_above(model, version)
         if naming is None:
@@ -203,9 +205,9 @@
     def note_refused(self, row, model, refused):
         """Guess the version of a target that refused a request for its version.
 
-        The answer doesn't say which version the target runs. It can only have moved
-        on, so the guess is the next one. After the newest version the guesses start
-        again from the version that the target was last known to run.
+        The answer doesn't say which version the target runs. It can only have loaded
+        a newer one, so the guess is the next version. After the newest version the
+        guesses start again from the version that the target was last known to run.
 
         Parameters
         ----------
