--- a/packages/decide/sesamespindle/decide/quarantine.py
+++ b/packages/decide/sesamespindle/decide/quarantine.py
@@ -162,7 +162,7 @@
         """Handle one of this module's events; return whether the event was one."""
         match event:
             case QuarantineRead():
-                self._adopt(event.record, now, "read")
+                self._adopt(event.record, now, "read from the platform or a peer")
             case QuarantineWritten():
                 self._adopt_written(event, now)
             case QuarantineUnwritten():
@@ -399,7 +399,7 @@
 
     # Records of quarantined requests.
 
-    def _adopt(self, record, now, how):
+    def _adopt(self, record, now, reason):
         """Store a record, unless its request was cleared after `decided_at`."""
         fingerprint = record.fingerprint
         cleared_at = self._crashes.cleared_at(fingerprint, None)
@@ -415,7 +415,7 @@
             self._learned_at_by_fingerprint.setdefault(fingerprint, now)
         self._state.tells_crashes = True
         if known is None:
-            self._state.emit(commands.Note("request_quarantined", fingerprint, how))
+            self._state.emit(commands.Note("request_quarantined", fingerprint, reason))
             self._drop_oldest()
 
     def _drop_oldest(self):
@@ -433,7 +433,7 @@
             if is_removed and 0 < record.revision <= listed.revision:
                 self._lift(record.fingerprint, now)
         for record in listed.records:
-            self._adopt(record, now, "listed")
+            self._adopt(record, now, "listed by the platform")
 
     def _lift(self, fingerprint, now):
         """End the quarantine of a request and clear its earlier crashes."""
@@ -476,7 +476,7 @@
         return ranked.index(me) if me in ranked else len(ranked)
 
     def _adopt_written(self, event, now):
-        self._adopt(event.record, now, "written")
+        self._adopt(event.record, now, "written to the platform")
         if event.is_try:
             self._pending_trials.add(event.record.fingerprint)
 
@@ -534,7 +534,7 @@
             if record is not None and record.decided_at <= cleared.at:
                 self._lift(cleared.fingerprint, cleared.at)
         for record in news.quarantined:
-            self._adopt(record, now, "heard")
+            self._adopt(record, now, "received from a peer")
 
 
 def _are_one_event(crashes):
--- a/packages/decide/sesamespindle/decide/weights.py
+++ b/packages/decide/sesamespindle/decide/weights.py
@@ -96,7 +96,7 @@
     ----------
     state : world.World
         The shared tables.
-    in_force_within : datetime.timedelta
+    weights_within : datetime.timedelta
         The time allowed: how long after an announcement runs may begin on older
         versions.
     contact_time : datetime.timedelta
@@ -104,9 +104,9 @@
         announced may still begin runs on older versions.
     """
 
-    def __init__(self, state, in_force_within, contact_time):
+    def __init__(self, state, weights_within, contact_time):
         self._state = state
-        self._in_force_within = in_force_within
+        self._weights_within = weights_within
         self._contact_time = contact_time
 
     def take(self, event, now):
@@ -133,7 +133,7 @@
 
     def tick(self, now):
         """Stop the gossip about versions that were announced too long ago to matter."""
-        gossiped_for = self._in_force_within + self._contact_time
+        gossiped_for = self._weights_within + self._contact_time
         self._state.namings.gossip_only_after(now - gossiped_for)
 
     def models(self):
@@ -168,7 +168,7 @@
         age = now - newer.at
         if age < _FULL_VALUE_FOR:
             return 0.0
-        share = (age - _FULL_VALUE_FOR) / (self._in_force_within - _FULL_VALUE_FOR)
+        share = (age - _FULL_VALUE_FOR) / (self._weights_within - _FULL_VALUE_FOR)
         return min(1.0, _INITIAL_COST + (1.0 - _INITIAL_COST) * share)
 
     def may_begin(self, row, model, now):
@@ -189,7 +189,7 @@
         naming = self._state.namings.first_above(model, version)
         if naming is None:
             return None
-        at, allowed = naming.at, self._in_force_within
+        at, allowed = naming.at, self._weights_within
         if not 0 < naming.replaces <= version:
             at = None
         since = at
