--- a/tests/support/relays.py
+++ b/tests/support/relays.py
@@ -1,4 +1,4 @@
-"""A relay in this process, with decision logic and a clock that tests hold."""
+"""A relay in the test's own process, with the test's decision logic and clock."""
 
 import contextlib
 import dataclasses
@@ -16,7 +16,8 @@
 from sesamespindle.decide import events, gateway, kvstores, lease, quarantine, rollout
 from sesamespindle.platform import dialect
 
-# What a host without the platform's store and peers can't carry out.
+# Commands that need the platform's store or peers. This relay has neither, so it
+# ignores them.
 _LEFT_OUT = (
     gateway.BecameReady,
     kvstores.FollowStores,
@@ -31,12 +32,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Served:
-    """A relay that takes requests.
+    """A running relay.
 
     Attributes
     ----------
     address : str
-        Where callers connect.
+        The host and port at which callers connect.
     """
 
     relay: relay.Relay
@@ -44,7 +45,7 @@
     address: str
 
     def tick(self):
-        """Have the decision logic see that time has passed."""
+        """Send the decision logic a tick, so that it acts on the passed time."""
         self.driver.feed(events.Tick())
 
     def url(self, path):
@@ -54,7 +55,7 @@
 
 @contextlib.asynccontextmanager
 async def serve(core, clock):
-    """Serve requests as a gateway's decision logic says; give a `Served`."""
+    """Run a relay with a gateway's decision logic, and yield it as a `Served`."""
     log = eventlog.EventLog("entry-1", eventlog.HybridClock(clock), 1)
     driving = driver.Driver(core, clock, log)
     for kind in _LEFT_OUT:
--- a/tests/support/standins.py
+++ b/tests/support/standins.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for the platform's store and its targets, and a real daemon."""
+"""Stand-ins for the platform's store and targets, and a real daemon process."""
 
 import asyncio
 import collections
@@ -13,15 +13,40 @@
 import aiohttp
 import aiohttp.web
 
-# Waits are for events; this only ends a test whose event never comes.
+# Waits end when their condition holds; this time-out only ends a test in which that
+# never happens.
 PATIENCE_SECONDS = 15.0
-# For callers, readiness, the directory and peers.
+# One port each for callers, readiness probes, the directory and peers.
 _DAEMON_PORTS = 4
 KEY = "key-of-acme"
 
 
 class Store:
-    """Objects with revisions, lists, watches and conditional writes."""
+    """A stand-in for the platform's object store.
+
+    It serves objects with revisions, lists, watches and conditional writes, and fails
+    as its attributes say.
+
+    Attributes
+    ----------
+    turned_away : set of str
+        IP addresses of clients whose connections it aborts.
+    is_away : bool
+        Whether it aborts the connections of all clients.
+    speaks_nonsense : bool
+        Whether it answers with JSON that isn't of the expected form.
+    loses_answers : bool
+        Whether it carries out writes and then aborts the connection instead of
+        answering.
+    delay_seconds : float
+        How long it waits before it handles a request.
+    is_stale : bool
+        Whether lists of the configuration show it as it was before its last change.
+    history_from : int
+        The oldest revision from which a watch may start; older ones get status 410.
+    waiting_by_kind : collections.Counter
+        The number of watches that wait now, by kind of object.
+    """
 
     def __init__(self, address):
         self.address = address
@@ -30,11 +55,9 @@
         self.speaks_nonsense = False
         self.loses_answers = False
         self.delay_seconds = 0.0
-        # Lists show objects as they were before their last change.
         self.is_stale = False
         self._objects_before = {}
         self.history_from = 0
-        # Watches that wait now, by kind.
         self.waiting_by_kind = collections.Counter()
         self._revision = 1
         self._objects = {}
@@ -56,7 +79,7 @@
         await self._runner.cleanup()
 
     async def put(self, kind, name, spec):
-        """Write an object as the operator or a target does."""
+        """Write an object without a condition, as the operator or a target does."""
         await self._change(kind, name, spec, False)
 
     async def remove(self, kind, name):
@@ -79,7 +102,7 @@
         return item
 
     def forget_history(self):
-        """Drop all changes, so that watches have to list again."""
+        """Drop all past changes, so that watches get status 410 and list again."""
         self._changes.clear()
         self.history_from = self._revision
 
@@ -112,7 +135,7 @@
         return _json({"items": items, "MorePages": False, "CurrentRev": self._revision})
 
     def _lose_answer(self, request):
-        """Break the connection of a write that was done, if answers get lost."""
+        """Abort the connection after a completed write if `loses_answers` is set."""
         if self.loses_answers and request.transport is not None:
             request.transport.abort()
 
@@ -165,34 +188,36 @@
 
 
 class Target:
-    """A target that speaks HTTP by hand, so that it can misbehave.
+    """A target that writes HTTP byte by byte, so that it can break the protocol.
 
     Attributes
     ----------
     runs : list of dict
-        The headers of every request that it ran, lower-case.
+        The headers of every request that it ran, with names in lower case.
     second_answer : bytes
-        Sent after each answer, as bytes of no request.
+        Bytes sent after each answer, which belong to no request.
     is_mute : bool
-        Whether it runs requests and never answers.
+        Whether it runs requests without ever answering them.
     born : int or None
-        The millisecond of its start, as its record tells it; None to not tell.
+        When its incarnation started, in ms since 1970, as its record states it; None
+        to leave it out of the record.
     release : asyncio.Event
-        Streams go on to their second event once it is set.
+        Streams wait after their first event until it is set.
     admits : asyncio.Event
-        Requests wait in its queue until it is set. One whose connection closes
-        before is dropped, and doesn't run.
+        Requests wait in the target's queue until it is set. A request whose
+        connection closes before that is dropped and doesn't run.
     queued : asyncio.Event
-        Set once a request waits.
+        Set once a request waits in the queue.
     dropped : asyncio.Event
-        Set once a request was dropped.
+        Set once a request was dropped from the queue.
     crashed_by : bytes
-        A request whose body begins so crashes it as soon as it runs; none if empty.
+        A request whose body begins with these bytes crashes the target as soon as
+        it runs; if empty, no request does.
     crashes : list of float
-        When it has crashed, in seconds of the event loop.
+        The times of its crashes, in seconds of the event loop's clock.
     turns_away : bool
-        Whether it says of all requests that it is full, with a body that comes
-        once `release` is set.
+        Whether it refuses all requests with status 503 as overloaded. The body of
+        that answer is sent once `release` is set.
     """
 
     def __init__(self, name, address, service="desk"):
@@ -231,12 +256,12 @@
         self._server.close()
 
     async def listen(self):
-        """Take requests at its address."""
+        """Listen for requests at its address."""
         host, port = self.address.split(":")
         self._server = await asyncio.start_server(self._serve, host, int(port))
 
     def crash(self):
-        """End as a process does that crashes: nobody listens any more."""
+        """Stop listening and break all connections, as a crashed process does."""
         self.crashes.append(asyncio.get_running_loop().time())
         self._server.close()
         self.begin_life()
@@ -256,13 +281,13 @@
         } | ({"born": self.born} if self.born is not None else {})
 
     def begin_life(self, is_seen=True):
-        """Start anew under the same name.
+        """Start a new incarnation under the same name.
 
         Parameters
         ----------
         is_seen : bool
-            Whether connections break at once. After a loss of power they do only
-            when the next request comes, which is not run.
+            Whether open connections break at once. If not, as after a loss of power,
+            each breaks when its next request comes, and that request isn't run.
         """
         for writer in self.writers if is_seen else ():
             writer.transport.abort()
@@ -288,7 +313,7 @@
         writer.close()
 
     async def _admit(self, reader):
-        """Wait for a place; return False if the connection closes before."""
+        """Wait in the queue; return False if the connection closes meanwhile."""
         if self.admits.is_set():
             return True
         self.queued.set()
@@ -337,7 +362,7 @@
         writer.write(body)
 
     async def _answer_unframed(self, headers, writer):
-        """Answer without a length, and end with the connection."""
+        """Answer without a length, so that the end of the connection ends the body."""
         attempt = headers["x-attempt-id"].encode()
         writer.write(
             b"HTTP/1.1 200 OK\r\nX-Server-Stamp: s\r\nConnection: close\r\n"
@@ -370,7 +395,7 @@
 
 
 async def _read_body(reader, headers):
-    """Read a body of either framing."""
+    """Return a body, whether chunked or with a length."""
     if headers.get("transfer-encoding") != "chunked":
         return await reader.readexactly(int(headers.get("content-length", 0)))
     body = b""
@@ -383,7 +408,7 @@
 
 
 def parse_head(head):
-    """Return the headers, lower-case, and the path under ``:path``."""
+    """Return headers by their names in lower case, and the path under ``:path``."""
     first, *lines = head.decode().split("\r\n")
     pairs = (line.partition(":") for line in lines if line)
     headers = {name.lower(): value.strip() for name, _, value in pairs}
@@ -391,7 +416,7 @@
 
 
 def make_answer(status, headers, extra, body=b""):
-    """Return an answer that echoes the request's id."""
+    """Return the bytes of an answer that repeats the request's id."""
     lines = [
         f"HTTP/1.1 {status} X",
         f"X-Attempt-Id: {headers.get('x-attempt-id', '-')}",
@@ -402,7 +427,15 @@
 
 
 def make_manifest(version=1, keys=(KEY,), **changed):
-    """Return a manifest with a plain service and an engine service."""
+    """Return a manifest with a plain service and an engine service.
+
+    Parameters
+    ----------
+    keys : sequence of str
+        The API keys of the one account.
+    **changed
+        Top-level fields that replace those of the usual manifest.
+    """
 
     def route(prefix, kind, service, **more):
         return {
@@ -438,14 +471,14 @@
 
 
 class Daemon:
-    """A real daemon, as a process of its own.
+    """A real daemon in its own process.
 
     Parameters
     ----------
     grace : int
-        Seconds from SIGTERM in which the platform lets the process be.
+        Seconds that the platform gives the process to exit after SIGTERM.
     data_centres : tuple of str
-        All there are, its own first.
+        All data centres; the daemon's own is the first.
     """
 
     def __init__(
@@ -490,7 +523,7 @@
         return self
 
     async def start(self):
-        """Start the process, also once more after its end."""
+        """Start the process, the first time or again after it has exited."""
         self._child = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -517,11 +550,11 @@
         return f"http://{self.ip}:{self._ports[0]}{path}"
 
     def ready_url(self):
-        """Return where the daemon says whether it is ready."""
+        """Return the URL of the readiness probe."""
         return f"http://{self.ip}:{self._ports[1]}/v1/ready"
 
     async def lets_probes_in(self):
-        """Return whether the port of `ready_url` is open."""
+        """Return whether the port of the readiness probe accepts connections."""
         try:
             _, writer = await asyncio.open_connection(self.ip, self._ports[1])
         except ConnectionRefusedError:
@@ -530,13 +563,13 @@
         return True
 
     def directory_url(self, data_centre="dc-1"):
-        """Return where callers of a data centre ask for addresses."""
+        """Return the URL at which callers of a data centre look up host addresses."""
         query = f"Name=a.example&Zone={data_centre}"
         return f"http://{self.ip}:{self._ports[2]}/v1/resolve?{query}"
 
     @property
     def is_running(self):
-        """Whether the process has not ended."""
+        """Whether the process runs."""
         return self._child.returncode is None
 
     def send_signal(self, number):
@@ -549,25 +582,26 @@
         self.send_signal(signal.SIGTERM)
 
     async def ended(self):
-        """Return the exit code, once there is one."""
+        """Wait until the process exits, and return its exit code."""
         return await self._child.wait()
 
     def lines(self):
-        """Return what the daemon has logged so far."""
+        """Return the lines that the daemon has logged so far."""
         size = os.fstat(self.log.fileno()).st_size
         return os.pread(self.log.fileno(), size, 0).decode().splitlines()
 
     def describe(self):
-        """Return whether the process runs, and what it logged last."""
-        state = "runs" if self.is_running else f"ended, {self._child.returncode}"
+        """Return whether the process runs, and the last 20 lines of its log."""
+        state = "runs" if self.is_running else f"exited with {self._child.returncode}"
         return "\n".join([f"{self.name} at {self.ip}: {state}", *self.lines()[-20:]])
 
 
 class World:
-    """A store, targets and daemons on loopback addresses of their own."""
+    """A store, targets and daemons, each at its own loopback address."""
 
     def __init__(self):
-        # Addresses of this process alone, so that test processes don't collide.
+        # The prefix contains bits of the process id, so that test processes that run
+        # side by side use different addresses.
         self._prefix = f"127.{os.getpid() >> 8 & 127}.{os.getpid() & 255}"
         self._stack = contextlib.AsyncExitStack()
         self._ports = None
@@ -591,7 +625,7 @@
         await self._stack.aclose()
 
     async def add_target(self, name, service="desk", address=None):
-        """Start a target and list it."""
+        """Start a target and list it in the store."""
         made = Target(name, address or self._address(), service)
         await self._stack.enter_async_context(made)
         await self.store.put("servers", name, made.entry())
@@ -599,7 +633,7 @@
         return made
 
     async def bring_back(self, target):
-        """Start a crashed target again under its name, and list it."""
+        """Start a crashed target again under its name, and list it in the store."""
         await target.listen()
         await self.store.put("servers", target.name, target.entry())
 
@@ -610,7 +644,7 @@
         return made
 
     async def start_daemon(self, seeds=(), grace=8):
-        """Start a daemon, which still has to load."""
+        """Start a daemon without waiting until it is ready."""
         self._hosts += 1
         ip = f"{self._prefix}.{self._hosts}"
         made = Daemon(
@@ -621,11 +655,11 @@
         return made
 
     def next_ip(self):
-        """Return the address that the next daemon gets."""
+        """Return the IP address that the next daemon gets."""
         return f"{self._prefix}.{self._hosts + 1}"
 
     async def is_ready(self, daemon):
-        """Return whether a daemon says that it is ready."""
+        """Return whether a daemon's readiness probe succeeds."""
         return await status_of(daemon.ready_url()) == 200
 
     async def ask(
@@ -644,7 +678,7 @@
             return response.status, response.headers, await response.read()
 
     async def until(self, holds):
-        """Wait until an asynchronous condition holds."""
+        """Wait until an asynchronous condition holds, as the function `until`."""
         await until(holds)
 
     def _address(self):
@@ -652,10 +686,11 @@
 
 
 def free_ports(count):
-    """Return ports of the loopback device that are free, each another one.
+    """Return distinct free ports of the loopback device.
 
-    Guards against a daemon that is told one port twice, and ends: ports asked for
-    one after the other were the same one in one of 1,000 sets of four.
+    Guards against a daemon that gets the same port for two purposes and exits at its
+    start: ports that are reserved one at a time repeat in 1 of 1,000 sets of four.
+    The guard holds because all ports are open at once here before any is closed.
     """
     with contextlib.ExitStack() as stack:
         opened = [
@@ -666,14 +701,20 @@
 
 
 async def until(holds):
-    """Wait until an asynchronous condition holds."""
+    """Wait until an asynchronous condition holds.
+
+    Raises
+    ------
+    TimeoutError
+        If it doesn't hold within `PATIENCE_SECONDS`.
+    """
     async with asyncio.timeout(PATIENCE_SECONDS):
         while not await holds():
             await asyncio.sleep(0.02)
 
 
 async def status_of(url):
-    """Return the status of a GET, or None where nobody answers."""
+    """Return the status of a GET, or None if the connection fails."""
     try:
         async with aiohttp.ClientSession() as session, session.get(url) as response:
             return response.status
