--- a/tests/support/soak/__init__.py
+++ b/tests/support/soak/__init__.py
@@ -1,5 +1,5 @@
-"""A randomized soak: real daemons, faults from outside, and a checker.
+"""A randomized soak test: real daemons, injected faults, and a checker.
 
-The checker sees only what callers and targets have recorded, and when which
-fault was in force.
+The checker sees only what callers and targets have recorded, and the times at
+which each fault began and ended.
 """
--- a/tests/support/soak/__main__.py
+++ b/tests/support/soak/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m soak``: plays seeds one after the other and says what broke."""
+"""``python -m soak``: runs seeds one after the other and prints violations."""
 
 import argparse
 import asyncio
@@ -12,11 +12,13 @@
 
 
 def main():
-    """Play seeds until the time is over; exit with 1 if a promise was broken."""
+    """Run the seeds that the flags ask for; exit with 1 if a promise was broken."""
     parser = argparse.ArgumentParser(prog="soak")
     parser.add_argument("--seed", type=int, default=int(time.time()))
-    parser.add_argument("--count", type=int, default=1, help="seeds to play")
-    parser.add_argument("--seconds", type=float, default=25.0, help="faults, a seed")
+    parser.add_argument("--count", type=int, default=1, help="number of seeds to run")
+    parser.add_argument(
+        "--seconds", type=float, default=25.0, help="seconds of faults per seed"
+    )
     parser.add_argument("--daemons", type=int, default=4)
     parser.add_argument("--callers", type=int, default=16)
     options = parser.parse_args()
@@ -25,7 +27,7 @@
         for seed in range(options.seed, options.seed + options.count)
         if not _play(seed, options)
     ]
-    print(f"{options.count} seeds, {len(broken)} with a broken promise: {broken}")
+    print(f"{options.count} seeds run, {len(broken)} with violations: {broken}")
     sys.exit(1 if broken else 0)
 
 
@@ -48,7 +50,7 @@
 
 
 def _keep(seed, outcome):
-    """Write the logs of a failed seed where they can be read."""
+    """Write the daemons' logs, faults and violations of a failed seed to files."""
     folder = _LOGS / str(seed)
     folder.mkdir(parents=True, exist_ok=True)
     for name, lines in outcome.log_by_daemon.items():
@@ -57,7 +59,7 @@
     records = (*journal.faults, *journal.changes, *journal.orders)
     text = "\n".join(str(record) for record in (*records, *outcome.violations))
     (folder / "faults.txt").write_text(text)
-    print(f"  logs are in {folder}")
+    print(f"  Logs, faults and violations are in {folder}")
 
 
 if __name__ == "__main__":
--- a/tests/support/soak/callers.py
+++ b/tests/support/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that find daemons by the directory and record every answer."""
+"""Callers that look up daemons in the directory and record every answer."""
 
 import asyncio
 import itertools
@@ -8,40 +8,43 @@
 
 from soak import records, targets
 
-# How long a caller keeps an answer of the directory, in seconds: some three
-# times as long as the directory says.
+# For how many seconds a caller caches an answer of the directory; each time it takes
+# one of these. Some callers cache three times as long as the directory allows.
 _KEPT_SECONDS = (1.0, 3.0)
 _LOOKUP_SECONDS = 1.0
 _CONNECT_SECONDS = 1.0
-# A leaving daemon may take short ones late, as they end before it does.
+# Time-outs of requests other than streams. A leaving daemon may still accept short
+# requests late, as these end before it exits.
 _DEADLINES_MS = (2500, 6000, 6000)
-# A stream has more time than the 8 s in which a daemon must leave.
+# Streams get more than the 8 s that a daemon has to exit after SIGTERM.
 _STREAM_DEADLINE_MS = 9500
+# The mean pause between two requests of a caller.
 _PAUSE_SECONDS = 0.05
-# How often each kind is asked for.
+# The relative frequency of each kind of request.
 _WEIGHT_BY_KIND = {
     records.Kind.ONCE: 4,
     records.Kind.READ: 4,
     records.Kind.CHAT: 5,
     records.Kind.PROBE: 3,
 }
+# The number of different contexts (prompt prefixes) that streams share.
 _CONTEXTS = 12
 
 
 class Caller:
-    """One caller with kept connections, which asks until it is stopped.
+    """A caller with persistent connections, which sends requests until stopped.
 
     Parameters
     ----------
     world : soak.world.World
-        Daemons, keys and the journal.
+        Provides daemons, API keys and the journal.
     seed : int
-        Of this caller's choices.
+        Seed of this caller's random choices.
     clings : bool
-        Whether it keeps to its host until the process there is gone, also when
-        the directory no longer names it.
+        Whether it stays with its host until a request there ends without an answer,
+        even when the directory no longer names that host.
     data_centre : str
-        Where it is; daemons there are asked first.
+        The caller's data centre; it prefers daemons there.
     """
 
     def __init__(self, world, seed, clings, data_centre):
@@ -58,7 +61,8 @@
     async def __aenter__(self):
         timeout = aiohttp.ClientTimeout(total=None, sock_connect=_CONNECT_SECONDS)
         self._session = aiohttp.ClientSession(timeout=timeout)
-        # The library's own repeat on a dead kept connection would hide it.
+        # aiohttp's own retry on a broken persistent connection would hide that the
+        # daemon cut a request off.
         self._session._retry_connection = False
         return self
 
@@ -66,7 +70,7 @@
         await self._session.close()
 
     async def run(self, stopped):
-        """Ask one request after the other until an event is set."""
+        """Send one request after the other until an event is set."""
         kinds = list(_WEIGHT_BY_KIND)
         weights = list(_WEIGHT_BY_KIND.values())
         while not stopped.is_set():
@@ -75,7 +79,13 @@
             await asyncio.sleep(self._random.uniform(0, 2 * _PAUSE_SECONDS))
 
     async def ask(self, kind):
-        """Send one request, record what came of it and return the record."""
+        """Send a request, and record and return its result.
+
+        Returns
+        -------
+        soak.records.Asked or None
+            None if no daemon is known.
+        """
         address = await self._choose()
         if address is None:
             return None
@@ -86,7 +96,7 @@
         return asked
 
     async def crash(self, path):
-        """Send the request of a path that crashes engines."""
+        """Send a prompt that crashes the engine which runs it, to a given path."""
         address = await self._choose()
         if address is None:
             return
@@ -199,7 +209,11 @@
         )
 
     async def _exchange(self, kind, address, path, headers, seconds, content=b"body"):
-        """Return status, body and stamp; no status without a whole answer."""
+        """Send a request; return status, body and stamp of its answer.
+
+        Without a complete answer, status and stamp are None, and the body is what
+        had arrived.
+        """
         plain_read = kind in (records.Kind.READ, records.Kind.PROBE)
         method = "GET" if plain_read else "POST"
         body = b""
