--- a/tests/soak/test_checker.py
+++ b/tests/soak/test_checker.py
@@ -1,4 +1,4 @@
-"""The soak's checker finds each kind of broken promise in made-up records."""
+"""The soak's checker finds each kind of broken promise in constructed records."""
 
 import dataclasses
 
@@ -124,18 +124,19 @@
 @pytest.mark.parametrize(
     ("since_stop", "lasts", "is_long", "promises"),
     [
-        # A stream that was taken late and cut in the middle.
+        # Sent after callers could know of the stop, accepted and cut in the middle.
         (
             3.02,
             4.7,
             True,
             {"a stop cuts nothing off", "what is taken late is finished"},
         ),
-        # Sent before callers could know, and still at work in the last sixth.
+        # Sent before callers could know, and still running in the last sixth of the
+        # grace time.
         (2.9, 4.7, True, set()),
-        # Cut off sooner than the daemon has to end.
+        # Cut off before the last sixth of the grace time.
         (2.9, 3.7, True, {"a stop cuts nothing off"}),
-        # It would have been over long before.
+        # Short: it should have been complete long before.
         (2.9, 4.7, False, {"a stop cuts nothing off"}),
     ],
 )
@@ -164,7 +165,7 @@
 
 
 def test_a_directory_that_names_a_daemon_which_leaves_is_found():
-    """A leaving daemon may name itself and peers that leave, if it knows no other."""
+    """A directory names a leaving daemon although one that stays is available."""
     promise = {"directories name who stays"}
     told = records.Told("entry-1", 21.1, ("entry-1", "entry-2"))
     stays = records.Told("entry-2", 1.0, ("entry-1", "entry-2"))
@@ -179,15 +180,16 @@
 @pytest.mark.parametrize(
     ("subject", "area", "began", "ended", "planned", "is_found"),
     [
-        # Nobody else is there, or not for long enough.
+        # No other daemon is available, or not for long enough.
         ("entry-2", records.Area.DAEMON, 20.0, 28.0, True, False),
         ("entry-2", records.Area.DAEMON, 9.0, 17.0, True, False),
-        # It came back in time, or began to leave only afterwards.
+        # The other one was back in time, or began to leave only afterwards.
         ("entry-2", records.Area.DAEMON, 7.0, 16.0, True, True),
         ("entry-2", records.Area.DAEMON, 22.0, 30.0, True, True),
-        # The daemon that answers has only just begun to learn.
+        # The daemon that answers started too recently to know its peers.
         ("entry-3", records.Area.DAEMON, 9.0, 17.0, True, False),
-        # They can't learn of each other, or could long enough.
+        # A failing store keeps daemons from learning of each other, or its failure was
+        # over for long enough, or the fault is one of a target.
         ("", records.Area.STORE, 13.5, 14.0, False, False),
         ("", records.Area.STORE, 12.0, 13.0, False, True),
         ("desk-1", records.Area.TARGET, 17.0, 19.0, False, True),
@@ -204,7 +206,7 @@
     if subject == "entry-3":
         found = _promises(told=[told, stays], faults=faults)
     else:
-        # The one that answers leaves too, so that only the other could stay.
+        # The daemon that answers leaves too, so that only the other one could stay.
         own = dataclasses.replace(stop, subject="entry-3")
         found = _promises(told=[told, stays], faults=[*faults, own])
     assert ("directories name who stays" in found) == is_found
@@ -260,7 +262,7 @@
 
 
 def _is_late_run_found(*faults):
-    """Return whether a run 11 s after a naming, by ``entry-1``, breaks a promise."""
+    """Return whether ``entry-1``'s run 11 s after an announcement breaks a promise."""
     named = records.Change("weights", 20.0, version=2)
     asked = dataclasses.replace(_CHAT, sent_at=31.0, ended_at=31.5)
     run = dataclasses.replace(_CHAT_RUN, at=31.0)
@@ -273,10 +275,10 @@
 @pytest.mark.parametrize("subject", ["entry-1", "entry-2", ""])
 @pytest.mark.parametrize("what", ["SIGTERM", "SIGKILL", "end all", "pause"])
 def test_old_weights_are_found_after_daemons_failed(what, subject):
-    """A daemon sent a prompt to an engine whose weights were replaced 11 s before.
+    """A daemon sends a prompt to an engine whose weights were superseded 11 s before.
 
-    It had missed the naming, as it had ended or stood still, and took the version
-    for a new one when it heard of it. It had been back for 4 s.
+    It missed the announcement because it had exited or was paused. It counts the
+    version's age from its own receipt of the announcement, and is back for 4 s.
     """
     fault = records.Fault(what, records.Area.DAEMON, subject, 20.5, 27.0)
     assert _is_late_run_found(fault)
@@ -285,12 +287,12 @@
 @pytest.mark.parametrize(
     ("subject", "ended", "is_found"),
     [
-        # Back for less, or for more, than it has to be in touch.
+        # Back for less or more than the 3 s of contact that the bound presumes.
         ("entry-1", 28.2, False),
         ("entry-1", 27.8, True),
-        # Another one sent it.
+        # Another daemon failed, not the one that sent the prompt.
         ("entry-2", 28.2, True),
-        # All of them.
+        # All daemons failed.
         ("", 28.2, False),
     ],
 )
@@ -312,17 +314,17 @@
 @pytest.mark.parametrize(
     ("what", "area", "subject", "began", "ended", "is_found"),
     [
-        # The store is stable 3 s after its harm: from 22.4 or 22.6 on.
+        # The store counts as stable 3 s after its failure: from 22.4 or 22.6 s on.
         ("is_away", records.Area.STORE, "", 18.0, 19.4, True),
         ("is_away", records.Area.STORE, "", 18.0, 19.6, False),
         ("is_away", records.Area.STORE, "", 24.0, 25.0, False),
-        # Harmed once the time was over, and the daemon in touch again or not.
+        # The fault came after the time was over; it affects the sending daemon or not.
         ("link freeze", records.Area.TARGET, "llm-2", 28.6, 29.0, True),
         ("link freeze", records.Area.TARGET, "llm-1", 28.6, 29.0, False),
         ("is_away", records.Area.STORE, "", 28.6, 29.0, False),
         ("link freeze", records.Area.STORE, "entry-2", 28.6, 29.0, True),
         ("link freeze", records.Area.STORE, "entry-1", 28.6, 29.0, False),
-        # Any link that is harmed stops the clock.
+        # A fault of any link stops the time.
         ("link freeze", records.Area.TARGET, "llm-2", 21.0, 22.4, True),
         ("link freeze", records.Area.TARGET, "llm-2", 21.0, 22.6, False),
         ("link freeze", records.Area.STORE, "entry-2", 21.0, 22.4, True),
@@ -337,9 +339,9 @@
 
 
 def test_old_weights_are_found_once_calm_spans_add_up():
-    """Spans of 2 s or more count together, and are due at 11 s."""
+    """Undisturbed spans of 2 s or more add up; weights are due after 11 s of them."""
     named = records.Change("weights", 10.0, version=2)
-    # Calm from 10 to 14, 14.5 to 18 and 18.5 to 23 and later.
+    # Undisturbed from 10 to 14 s, from 14.5 to 18 s, and from 18.5 s on.
     harmed = [
         records.Fault("link freeze", records.Area.TARGET, "llm-2", began, began + 0.5)
         for began in (14.0, 18.0)
@@ -349,7 +351,7 @@
     late = dataclasses.replace(_CHAT_RUN, at=22.6)
     found = _promises(runs=[late], changes=[named], faults=harmed)
     assert found == {"newest weights"}
-    # Of less than 2 s each they don't count: 14.5 to 16 and 16.5 to 18.
+    # Spans of less than 2 s don't count: 14.5 to 16 s and 16.5 to 18 s.
     split = records.Fault("link freeze", records.Area.TARGET, "llm-2", 16.0, 16.5)
     found = _promises(runs=[late], changes=[named], faults=[*harmed, split])
     assert found == set()
--- a/tests/support/soak/checker.py
+++ b/tests/support/soak/checker.py
@@ -1,4 +1,7 @@
-"""Judges a soak by what callers and targets recorded, and nothing else."""
+"""Finds broken promises in the records of a soak.
+
+It uses nothing but what callers, targets and the fault player have recorded.
+"""
 
 import collections
 import dataclasses
@@ -7,35 +10,48 @@
 
 from soak import records, targets
 
-# The platform's bounds as the daemons' settings have them, in seconds.
+# The platform's bounds, as the daemons' settings have them, in seconds: the time in
+# contact with the store after which bounds apply again, and the time in which a
+# leaving target's traffic ends, a new configuration is active, a daemon no longer
+# answers by an older configuration, and engines run new weights.
 _CONTACT = 3.0
 _DRAIN = 2.0
 _CONFIGURATION = 2.0
 _ROLLBACK = 0.25
 _WEIGHTS = 8.0
-# New weights are due too once calm spans, none shorter than this, add up to so much.
+# New weights are also due once undisturbed spans add up to _WEIGHTS_IN_ALL seconds;
+# only spans of at least _WEIGHTS_SPAN seconds count.
 _WEIGHTS_SPAN = 2.0
 _WEIGHTS_IN_ALL = 11.0
+# Seconds between the last order of one leaseholder and the first of the next.
 _LEASE = 3.0
-# A request under which so many targets ended reaches few more.
+# Once a request has crashed _CRASHES targets, at most _MOST_RETRIES more runs of it
+# may start late.
 _CRASHES, _MOST_RETRIES = 3, 3
+# Seconds after the last fault from which on all requests must succeed.
 _RECOVER = 12.0
+# Seconds that a daemon has to exit after SIGTERM.
 _GRACE = 8.0
-# A leaving daemon may be sent requests for so long by callers that can't know,
-# and what of these lasts into the last sixth of its time may be cut off.
+# For this many seconds after its SIGTERM, callers that can't know of it may still
+# send requests to a daemon. Those of their streams that last into the last sixth of
+# the grace time may be cut off.
 _TAKEN_BLINDLY = 3.0
 _LAST_SIXTH = _GRACE * 5 / 6
-# From then on no directory names a leaving daemon if another is there, which has
-# had 4 s to start and one more to be heard of.
+# From _TOLD_WITHIN seconds after its SIGTERM on, no directory may name a leaving
+# daemon if another is available. Another one counts if it has been available for
+# _KNOWN_WITHIN seconds: 4 s for its start and 1 s until its peers know it.
 _TOLD_WITHIN = 2.0
 _KNOWN_WITHIN = 5.0
+# By how much the deadline sent to a target may exceed the caller's.
 _DEADLINE_SLACK_MS = 500
-# What the soak's own clock may be off by: proxies and callers share one loop
-# with it, which stands still for some tenths of a second on a busy machine.
+# The error of the soak's own times, in seconds. The proxies, callers and targets that
+# take them share one event loop, which is delayed by some tenths of a second on a
+# busy machine.
 _SLACK = 0.5
-# A request that was cut sooner than this after it was sent may have crossed the
-# end of its connection.
+# A request that was cut off sooner than this after it was sent, in seconds, may have
+# been in transit as the daemon closed its idle connection.
 _CROSSED = 0.2
+# Status codes which promise that no target has run the request.
 _NOT_RUN = frozenset((408, 421, 429, 503))
 _EVENT = re.compile(rb"id: (\d+)\ndata: (.*)\n")
 _Area = records.Area
@@ -44,7 +60,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Violation:
-    """A promise that was broken, and by what it shows."""
+    """A broken promise, the id of the request concerned, and the evidence."""
 
     promise: str
     request: str
@@ -52,7 +68,7 @@
 
 
 def check(journal):
-    """Return the `Violation` of every promise that a journal shows broken."""
+    """Return a list of a `Violation` for each broken promise in a journal."""
     runs_by_request = collections.defaultdict(list)
     for run in journal.runs:
         runs_by_request[run.request].append(run)
@@ -73,14 +89,18 @@
     found += _check_recovery(journal)
     found += _check_crashing(journal)
     found += [
-        Violation("the daemon stays up", "", f"{daemon} ended by itself with {code}")
+        Violation("the daemon stays up", "", f"{daemon} exited by itself with {code}")
         for daemon, code in journal.exits
     ]
     return found
 
 
 def _check_answer(asked, runs):
-    """Check that a success is the whole answer of a target that ran it."""
+    """Check that a success is the complete answer of a target that ran the request.
+
+    Also check that a proper request isn't refused as unknown, and that a failure that
+    names a target has the status which that target sent.
+    """
     if asked.status in (401, 404) and asked.kind is not _Kind.PROBE:
         yield _broken("proper requests are served", asked, f"status {asked.status}")
     if asked.status != 200:
@@ -104,7 +124,10 @@
 
 
 def _check_whether_run(asked, runs):
-    """Check that it ran at most once, and that "not run" is true."""
+    """Check that a ONCE request ran at most once, and that "not run" is true.
+
+    Also check that a stream without a complete answer has its events in order.
+    """
     if asked.kind is _Kind.ONCE and len(runs) > 1:
         yield _broken("at most once", asked, f"runs {runs}")
     if asked.status in _NOT_RUN and runs and asked.kind is _Kind.ONCE:
@@ -120,7 +143,10 @@
 
 
 def _check_sends(asked, runs):
-    """Check that targets get the request as it was, its account and no key."""
+    """Check that targets get the unchanged path, the account and no API key.
+
+    Also check the service, and that the deadline isn't later than the caller's.
+    """
     for run in runs:
         service = "llm" if asked.kind is _Kind.CHAT else "desk"
         if run.service != service:
@@ -135,7 +161,7 @@
 
 
 def _check_graceful_stop(asked, runs, journal):
-    """Check that a stop alone cuts no request off that was passed on."""
+    """Check that a planned stop of a daemon, without other faults, cuts nothing off."""
     stopped = [
         fault
         for fault in journal.faults
@@ -160,7 +186,7 @@
 
 
 def _may_outlast(asked, runs, stopped_at):
-    """Return whether a stream was sent in time and runs on as its host ends."""
+    """Return whether a stream was sent in time and still ran as its host exited."""
     if asked.kind is not _Kind.CHAT or not runs:
         return False
     seconds = targets.event_count(asked.request) * targets.event_seconds(asked.request)
@@ -170,7 +196,7 @@
 
 
 def _check_directory(journal):
-    """Check that no directory names a leaving daemon while another is there."""
+    """Check that no directory names a leaving daemon while another is available."""
     struck = [fault for fault in journal.faults if fault.area is not _Area.TARGET]
     unplanned = [fault for fault in struck if not fault.planned]
     at_daemons = [fault for fault in struck if fault.area is _Area.DAEMON]
@@ -197,12 +223,12 @@
         }
         wrong = leaving.intersection(told.named)
         if there and wrong and _calm(unplanned, since, told.asked_at):
-            detail = f"{told} names {wrong}, {there} are there"
+            detail = f"{told} names {wrong}, though {there} are available"
             yield Violation("directories name who stays", "", detail)
 
 
 def _check_configuration(asked, journal):
-    """Check that a version is in force after its time in calm."""
+    """Check that a configuration is active in time, if no fault delays it."""
     if asked.kind is not _Kind.PROBE:
         return
     changes = [change for change in journal.changes if change.what == "configuration"]
@@ -214,7 +240,7 @@
     if not _calm(faults, newest.at, asked.ended_at):
         return
     if asked.version < newest.version and asked.status == 200:
-        detail = f"{asked.daemon} serves {asked.version}, {newest.version} is in force"
+        detail = f"{asked.daemon} serves {asked.version}, {newest.version} is active"
         yield _broken("configuration in force", asked, detail)
     last = max(changes, key=lambda change: change.version)
     if asked.version == newest.version == last.version and asked.status == 404:
@@ -223,7 +249,7 @@
 
 
 def _check_rollback(journal):
-    """Check that one life of a daemon never goes back to an older version."""
+    """Check that a daemon's process never returns to an older configuration."""
     proven = collections.defaultdict(list)
     for asked in journal.asked:
         if asked.kind is _Kind.PROBE and asked.status == 200:
@@ -237,7 +263,7 @@
 
 
 def _check_leaving(journal):
-    """Check that a target that leaves gets nothing more after its time."""
+    """Check that a leaving target gets no request after the time to drain it."""
     for change in journal.changes:
         if change.what != "leaving":
             continue
@@ -246,12 +272,12 @@
             if run.target != change.subject or not late:
                 continue
             if _calm(journal.faults, change.at, run.at):
-                detail = f"{run.target} {run.at - change.at:.2f} s after it left"
+                detail = f"{run.target}, leaving for {run.at - change.at:.2f} s"
                 yield Violation("leaving targets", run.request, detail)
 
 
 def _check_holders(orders):
-    """Check that one holder at a time gives orders, and epochs only rise."""
+    """Check that only one leaseholder at a time gives orders, with rising epochs."""
     in_order = sorted(orders, key=lambda order: order.at)
     for earlier, later in itertools.pairwise(in_order):
         if later.epoch < earlier.epoch:
@@ -263,7 +289,10 @@
 
 
 def _check_weights(journal):
-    """Check that no run begins on old weights late, and all engines follow."""
+    """Check that no run starts late on superseded weights.
+
+    Also check that all engines run the newest weights at the end.
+    """
     named = [change for change in journal.changes if change.what == "weights"]
     daemon_by_request = {asked.request: asked.daemon for asked in journal.asked}
     for change in named:
@@ -275,20 +304,22 @@
                 and _are_weights_due(journal.faults, change.at, run.at)
                 and _is_in_touch(journal.faults, daemon, run)
             ):
-                detail = f"{run.at - change.at:.2f} s, by {daemon}, {run}, {change}"
+                detail = (
+                    f"{run.at - change.at:.2f} s after, by {daemon}, {run}, {change}"
+                )
                 yield Violation("newest weights", run.request, detail)
     newest = max((change.version for change in named), default=1)
     for engine, version in journal.final_weights_by_engine.items():
         if version < newest:
-            detail = f"{engine} ends with {version}, {newest} was named"
+            detail = f"{engine} ends with {version}, {newest} was announced"
             yield Violation("all engines follow", "", detail)
 
 
 def _are_weights_due(faults, named_at, until):
-    """Return whether engines had their time to follow since a version was named.
+    """Return whether engines must run a weight version announced at a given time.
 
-    It passes while the store is stable and no link is harmed, whatever becomes of
-    daemons and targets meanwhile.
+    The time that they have for it counts only while the store is stable and no link
+    is disturbed. Failures of daemons and targets don't stop it.
     """
     lengths = []
     since = named_at
@@ -296,7 +327,8 @@
         if not _harms_store_or_link(fault):
             continue
         lengths.append(min(fault.began, until) - since)
-        # The store counts as stable again some time after its harm, links at once.
+        # The store counts as stable again _CONTACT seconds after its fault has ended,
+        # a link at once.
         is_of_store = fault.area is _Area.STORE and not fault.subject
         settles = _CONTACT if is_of_store else 0.0
         since = max(since, fault.ended + settles)
@@ -312,10 +344,11 @@
 
 
 def _is_in_touch(faults, daemon, run):
-    """Return whether a run's daemon was in touch when it sent the request.
+    """Return whether the daemon that sent a run was in contact with the store then.
 
-    For some time before, its process ran and neither the store nor its link to the
-    store or to the target was harmed. What becomes of other daemons excuses nothing.
+    It was if, for _CONTACT seconds before, its process ran, and the store and the
+    daemon's links to the store and to the target worked. Failures of other daemons
+    are no excuse.
     """
     own = [
         fault
@@ -333,12 +366,16 @@
 
 
 def _check_salts(runs):
-    """Check that no salt is of two weight versions or on both sides of a wall."""
+    """Check that no cache salt is used twice where KV cache must not be shared.
+
+    A salt belongs to one weight version, and either to the isolated account or to
+    the others.
+    """
     seen = {}
     for run in runs:
         if not run.weights:
             continue
-        # "bank" is isolated; all others may share.
+        # The account "bank" is isolated; all others may share KV cache.
         owner = run.weights, run.account == "bank"
         if seen.setdefault(run.salt, owner) != owner:
             detail = f"salt {run.salt} of {seen[run.salt]} also of {owner}"
@@ -346,7 +383,10 @@
 
 
 def _check_recovery(journal):
-    """Check that all is served again some time after the last fault."""
+    """Check that all requests succeed again _RECOVER seconds after the last fault.
+
+    Targets fail some requests with status 500 at any time.
+    """
     for asked in journal.asked:
         if asked.sent_at < journal.recovered_at + _RECOVER:
             continue
@@ -357,7 +397,7 @@
 
 
 def _check_crashing(journal):
-    """Check that a request which crashes targets is stopped on all hosts."""
+    """Check that hosts stop sending a request that crashes targets."""
     crashes_by_path = collections.defaultdict(list)
     for crash in journal.crashes:
         crashes_by_path[crash.path].append(crash.at)
@@ -382,7 +422,7 @@
 
 
 def _striking(journal, daemon):
-    """Return the faults that keep a daemon from learning of a change."""
+    """Return the faults that can keep a daemon from learning of a change."""
     return [
         fault
         for fault in journal.faults
@@ -391,7 +431,7 @@
 
 
 def _calm(faults, began, until):
-    """Return whether no fault was in force from a while before to an end."""
+    """Return whether no fault was active from _CONTACT seconds before to the end."""
     return not any(
         fault.began < until and fault.ended > began - _CONTACT for fault in faults
     )
