--- a/tests/support/soak/faults.py
+++ b/tests/support/soak/faults.py
@@ -1,4 +1,4 @@
-"""What strikes a fleet during a soak, and the order in which it comes."""
+"""The faults of a soak: how they are drawn, injected and ended."""
 
 import asyncio
 import contextlib
@@ -13,7 +13,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndDaemon:
-    """A daemon gets a signal and is started again after its end."""
+    """A daemon gets a signal and is started again after it has exited.
+
+    Attributes
+    ----------
+    pause : float
+        Seconds from its exit to its new start, as in the other faults.
+    """
 
     number: signal.Signals
     pause: float
@@ -21,16 +27,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StopInTurn:
-    """Daemons get SIGTERM, one data centre after the other, and start again.
+    """Daemons get SIGTERM one data centre after the other, and are started again.
 
     Attributes
     ----------
     count : int
-        How many, in all data centres.
+        The number of daemons, over all data centres.
     apart : float
-        Seconds between two daemons.
+        Seconds from one daemon's SIGTERM to the next.
     between : float
-        Seconds before a daemon of the next data centre.
+        Additional seconds before the first daemon of another data centre.
     """
 
     count: int
@@ -48,19 +54,25 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PauseDaemon:
-    """A daemon's process stands still."""
+    """A daemon's process is suspended by SIGSTOP for some seconds."""
 
     seconds: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReloadDaemon:
-    """A daemon gets SIGHUP."""
+    """A daemon gets SIGHUP and reloads its settings."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HarmLink:
-    """A link misbehaves: a daemon's to the store, or all to a target."""
+    """A link is disturbed: that of a daemon to the store, or of all to a target.
+
+    Attributes
+    ----------
+    delay : float
+        Seconds by which the link delays each chunk of data.
+    """
 
     area: records.Area
     mode: proxy.Mode
@@ -77,7 +89,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HarmStore:
-    """The store misbehaves to all: one of its attributes is set for a while."""
+    """The store fails for all: one attribute of `standins.Store` is set for a while."""
 
     attribute: str
     value: object
@@ -86,26 +98,26 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ForgetHistory:
-    """The store forgets its changes, so that watches have to list again."""
+    """The store drops its history of changes, so that watches have to list again."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CrashTarget:
-    """A target dies, and its address belongs to another one later."""
+    """A target crashes, and later a different target has its address."""
 
     seconds: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RestartTarget:
-    """A target dies, and starts again under its name, holding nothing."""
+    """A target crashes, and starts again under its name with no work in flight."""
 
     seconds: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoseAnswers:
-    """A target breaks off a share of its answers."""
+    """A target breaks the connection during a share of its answers."""
 
     share: float
     seconds: float
@@ -113,14 +125,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AnswerTwice:
-    """A plain target sends a second answer after each."""
+    """A target of the plain service sends an unrequested second answer after each."""
 
     seconds: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DrainTarget:
-    """A target leaves in order."""
+    """A target is drained and leaves."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -130,11 +142,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NameWeights:
-    """A new weight version is named."""
+    """A new weight version is announced."""
 
 
 def draw(source):
-    """Return a fault drawn by a seeded source of randomness."""
+    """Return a fault drawn from a seeded `random.Random`."""
     seconds = source.uniform(0.3, 4.0)
     modes = [mode for mode in proxy.Mode if mode is not proxy.Mode.PASS]
     area = source.choice((_Area.STORE, _Area.TARGET))
@@ -162,12 +174,12 @@
 
 
 def draw_planned(source):
-    """Return a change that nobody should notice."""
+    """Return a drawn planned change, which callers must not notice."""
     return source.choice(_plan(source))()
 
 
 def draw_after_naming(source):
-    """Return a fault that keeps daemons from hearing of a version as it is named."""
+    """Return a drawn fault that makes daemons miss the announcement of a version."""
     makers = (
         lambda: EndAll(source.uniform(0.5, 5)),
         lambda: PauseDaemon(source.uniform(3, 8)),
@@ -179,7 +191,8 @@
 def _plan(source):
     def stop_in_turn():
         apart, pause = source.uniform(0, 1.5), source.uniform(0, 1)
-        # The next data centre follows while the first one leaves or once it is back.
+        # The next data centre stops either while the daemons of the first one leave or
+        # after they are back.
         between = source.choice((source.uniform(0, 4), source.uniform(10, 16)))
         return StopInTurn(source.randint(2, 4), apart, between, pause)
 
@@ -195,7 +208,7 @@
 
 
 async def play(fault, world):
-    """Bring a fault about, and end it."""
+    """Inject a fault, and return after it has ended."""
     match fault:
         case EndDaemon():
             await _end(world, _any_daemon(world), fault.number, fault.pause)
@@ -286,10 +299,11 @@
 
 
 async def _harm_store(fault, store, world):
-    """Set an attribute of the store for a while, unless that is so already.
+    """Set an attribute of the store for a while, unless it is already set.
 
-    Two overlapping faults of one kind would each restore what they found, and
-    the second would leave the store as the first had made it, for good.
+    Guards against two overlapping faults of one kind: each would restore the value
+    that it found, so that the second would leave the store failing for good. The
+    guard holds because a fault that finds the attribute set does nothing.
     """
     usual = getattr(store, fault.attribute)
     if usual:
@@ -320,7 +334,7 @@
 
 @contextlib.contextmanager
 def _noted(world, what, area, subject="", planned=False):
-    """Note a fault for as long as it is in force."""
+    """Record a fault with the times at which the block begins and ends."""
     fault = records.Fault(what, area, subject, world.now(), planned=planned)
     world.journal.faults.append(fault)
     try:
--- a/tests/support/soak/play.py
+++ b/tests/support/soak/play.py
@@ -1,4 +1,4 @@
-"""One seeded soak, from the start of its processes to the checker's verdict."""
+"""One seeded soak, from the start of its processes to the checker's result."""
 
 import asyncio
 import contextlib
@@ -9,42 +9,46 @@
 
 from soak import callers, checker, faults, records, world
 
-# Faults come in bursts of up to so many that overlap, each of these some tenths
-# of a second after the one before, so that they meet in the middle of things.
+# Faults come in bursts of up to _MOST_AT_ONCE that overlap. Each begins up to
+# _APART_SECONDS after the one before, so that it hits daemons which are still dealing
+# with that one.
 _MOST_AT_ONCE = 4
 _APART_SECONDS = 0.8
-# How often changes follow in calm, and how many at most.
+# The probability that planned changes precede a burst, and their greatest number.
 _PLANNED_SHARE = 0.5
 _MOST_PLANNED = 3
-# The quiet after a burst: long enough for the bounds of calm times to count.
+# The longest time without faults after a burst, and the time before and after planned
+# changes. It is longer than the 3 s of contact after which the bounds apply again.
 _QUIET_SECONDS = 4.0
-# Nothing fails any more for this long at the end: what must recover has 12 s,
-# new weights have 11 s.
+# The time without faults at the end. All requests must succeed after 12 s of it, and
+# all engines must run the newest weights after 11 s.
 _END_SECONDS = 14.0
-# In how many seeds weights are named just before daemons fail, and orders are late.
+# The share of seeds in which weights are announced just before daemons fail, and the
+# bounds between which the share of late orders in such a seed is drawn.
 _NAMINGS_SHARE = 0.6
 _LATE_ORDERS_SHARES = (0.3, 1.0)
 _MOST_NAMINGS = 2
-# From a naming to the faults that follow it, at most.
+# The longest time from an announcement to the faults that follow it.
 _AFTER_NAMING_SECONDS = 2.0
-# Some daemons are paused at once, or all end, some tenths of a second apart.
+# The greatest number of faults after an announcement, or of daemons paused around one.
 _MOST_AFTER_NAMING = 3
-# In how many of these seeds weights are also named while daemons are paused, which
-# hear of it as they wake up.
+# The share of these seeds in which weights are also announced while daemons are
+# paused, so that these receive the announcement as they resume.
 _PAUSES_SHARE = 0.5
 _PAUSE_SECONDS = (4.0, 8.0)
-# Nothing fails for this long after them: new weights have 8 s.
+# The time without faults after these faults: engines have 8 s for new weights.
 _AFTER_FAULTS_SECONDS = 8.0
-# Requests that crash engines come for so long, one after the other at any daemon.
+# For how long a request that crashes engines is repeated, and the pause between two
+# of its attempts, each drawn between these bounds.
 _CRASHING_SECONDS = (4.0, 9.0)
 _CRASHING_PAUSE_SECONDS = (0.02, 0.6)
-# Targets start again under their names at most this far apart.
+# The longest time between two restarts of targets under their own names.
 _RESTARTS_APART_SECONDS = 4.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Outcome:
-    """What a soak found, and how much it saw."""
+    """The violations that a soak found, its records and the daemons' logs."""
 
     violations: list
     journal: records.Journal
@@ -54,18 +58,27 @@
 async def play(
     seed, seconds, daemons=4, crowd=16, restarts=True, namings=True, crashes=False
 ):
-    """Play one soak and return its `Outcome`.
+    """Run one soak and return its `Outcome`.
 
     Parameters
     ----------
+    seed : int
+        Decides what is drawn.
+    seconds : float
+        How long bursts of faults are started.
+    daemons : int
+        The number of entry hosts.
+    crowd : int
+        The number of callers.
     restarts : bool
-        Whether targets also start again under their names. They are drawn apart,
-        so that a seed without them plays as it did before there were any.
+        Whether targets are also restarted under their own names. These faults have a
+        random source of their own, so that the others stay the same without them.
     namings : bool
-        Whether, in some seeds, weights are also named just before daemons fail and
-        targets carry orders out late. Drawn apart for the same reason.
+        Whether, in some seeds, weights are also announced just before daemons fail,
+        and targets carry out orders late. These have a random source of their own for
+        the same reason.
     crashes : bool
-        Whether requests that crash engines come besides.
+        Whether prompts that crash engines are also sent.
     """
     async with contextlib.AsyncExitStack() as stack:
         made = await stack.enter_async_context(world.World(seed, daemons))
@@ -115,7 +128,7 @@
 
 
 async def _strike(made, seed, seconds):
-    """Play bursts of faults, with planned changes in the quiet between them."""
+    """Inject bursts of faults, with planned changes in undisturbed times between."""
     source = random.Random(seed)
     while made.now() < seconds:
         if source.random() < _PLANNED_SHARE:
@@ -128,7 +141,7 @@
 
 
 async def _restart_targets(made, seed, seconds):
-    """Have targets start again under their names, now and then."""
+    """Restart targets under their own names at random times."""
     source = random.Random(f"restarts {seed}")
     while made.now() < seconds:
         await asyncio.sleep(source.uniform(0, _RESTARTS_APART_SECONDS))
@@ -137,7 +150,7 @@
 
 
 async def _crash_engines(made, seed, seconds):
-    """Have one request after the other crash engines, twice or more."""
+    """Send at least two different prompts that crash engines, one after the other."""
     source = random.Random(f"crashing {seed}")
     number = 0
     near = world.DATA_CENTRES[0]
@@ -152,7 +165,7 @@
 
 
 async def _name_before_faults(made, source):
-    """Name weights just before daemons fail, while neither store nor links do."""
+    """Announce weights just before daemons fail, while store and links work."""
     for _ in range(source.randint(1, _MOST_NAMINGS)):
         await asyncio.sleep(_QUIET_SECONDS)
         await faults.play(faults.NameWeights(), made)
@@ -166,6 +179,7 @@
 
 
 async def _name_during_pauses(made, source):
+    """Announce weights while some daemons are paused."""
     await asyncio.sleep(_QUIET_SECONDS)
     async with asyncio.TaskGroup() as pauses:
         for _ in range(source.randint(1, _MOST_AFTER_NAMING)):
@@ -177,7 +191,7 @@
 
 
 async def _change_in_calm(made, source):
-    """Play changes that overlap and that nobody should notice, in calm."""
+    """Make overlapping planned changes, without faults; callers must notice none."""
     await asyncio.sleep(_QUIET_SECONDS)
     async with asyncio.TaskGroup() as changes:
         for _ in range(source.randint(1, _MOST_PLANNED)):
