--- a/tests/support/soak/records.py
+++ b/tests/support/soak/records.py
@@ -1,33 +1,37 @@
-"""What callers, targets and the fault player write down during a soak."""
+"""The records that callers, targets and the fault player make during a soak."""
 
 import dataclasses
 import enum
 
 
 class Kind(enum.Enum):
-    """What a caller asks for."""
+    """The kind of a caller's request; its path begins with the value."""
 
     ONCE = "once"
     READ = "read"
     CHAT = "chat"
-    # Asks for a route that one version of the configuration adds.
+    # Asks for a route that exists in one version of the configuration only.
     PROBE = "probe"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Run:
-    """A target began to work on a request.
+    """A target started to run a request.
 
     Attributes
     ----------
     at : float
-        Seconds on the soak's clock, as in all records.
+        When it started, in seconds on the soak's clock, as in all records.
     status : int
-        What the target answered, or would have.
+        The status that the target answered, or would have answered.
     first_event : int
-        The event of the stream that the run began with.
+        The number of the event with which the run's part of the stream began.
     weights : int
-        The weight version that it ran on; 0 at a plain service.
+        The weight version of the engine; 0 at a plain service.
+    key : str or None
+        The API key that the target received, which must be None.
+    salt : str
+        The cache salt that the target received.
     """
 
     request: str
@@ -46,18 +50,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Asked:
-    """A caller's request and what came of it.
+    """A caller's request and its result.
 
     Attributes
     ----------
     status : int or None
-        None where the connection ended without a whole answer.
+        None if there was no complete answer.
     body : bytes
-        As far as it came.
+        The part of the body that arrived.
     stamp : str or None
-        The target's proof of itself.
+        The name of the target that answered, as the answer's ``X-Server-Stamp``.
     life : int
-        Which start of the daemon's process it was sent to.
+        The number of the daemon's incarnation that it was sent to, from 1.
+    version : int
+        For a PROBE, the version of the configuration that has its route; else 0.
     """
 
     request: str
@@ -77,7 +83,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Told:
-    """A daemon's directory named daemons to a caller that asked at a time."""
+    """A caller asked a daemon's directory, which named these daemons."""
 
     daemon: str
     asked_at: float
@@ -86,12 +92,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Order:
-    """A target was given an order to load weights.
+    """A target received an order to load weights.
 
     Attributes
     ----------
     delay : float
         Seconds until it is carried out; an order with a delay gets no answer.
+    holder : str
+        The daemon that holds the lease for such orders.
+    epoch : int
+        The epoch of the lease, used as a fencing token.
     """
 
     target: str
@@ -102,7 +112,7 @@
 
 
 class Area(enum.Enum):
-    """What a fault strikes."""
+    """The part of the fleet that a fault affects."""
 
     DAEMON = "daemon"
     STORE = "store"
@@ -112,12 +122,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Fault:
-    """A fault in force; it strikes all daemons where it names none.
+    """A fault and the time in which it was active.
 
     Attributes
     ----------
     planned : bool
-        Whether it is a stop or a change that must cut nothing off.
+        Whether it is an orderly stop or a change, which must cut no request off.
+    subject : str
+        The daemon or target affected; empty for all daemons.
     """
 
     what: str
@@ -130,14 +142,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Change:
-    """The store accepted a change of the operator's or of a target's.
+    """The store accepted a change by the operator or by a target.
 
     Attributes
     ----------
     what : str
         ``configuration``, ``weights`` or ``leaving``.
     subject : str
-        The target that leaves.
+        The target that leaves, if one does.
     """
 
     what: str
@@ -148,12 +160,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Crash:
-    """An engine ended under a request that crashes engines.
+    """An engine crashed because it ran a request that crashes engines.
 
     Attributes
     ----------
     path : str
-        Of the request; each such request has a path of its own.
+        The path of the request, by which its attempts are recognised.
     """
 
     path: str
@@ -172,13 +184,13 @@
     faults: list[Fault] = dataclasses.field(default_factory=list)
     changes: list[Change] = dataclasses.field(default_factory=list)
     crashes: list[Crash] = dataclasses.field(default_factory=list)
-    # The daemon that each attempt of such requests was sent to, by its id.
+    # The daemon that each attempt to crash an engine was sent to, by the attempt's id.
     daemon_by_crashing: dict[str, str] = dataclasses.field(default_factory=dict)
-    # Exits that no signal of the soak explains: daemon and exit code.
+    # Daemons that exited though the soak had sent no signal, with their exit codes.
     exits: list[tuple[str, int]] = dataclasses.field(default_factory=list)
-    # The weight version of each engine that is listed at the end.
+    # The weight version of each engine listed at the end, by the engine's name.
     final_weights_by_engine: dict[str, int] = dataclasses.field(default_factory=dict)
     # When all daemons were ready for the first time.
     ready_at: float = 0.0
-    # When the last fault had ended.
+    # When the last fault ended.
     recovered_at: float = float("inf")
--- a/tests/support/soak/targets.py
+++ b/tests/support/soak/targets.py
@@ -1,4 +1,4 @@
-"""Targets that run requests, record each run, and fail in their own ways."""
+"""Targets that run requests, record each run, and fail in some of them."""
 
 import asyncio
 import contextlib
@@ -9,31 +9,31 @@
 
 from soak import records
 
-# How long an engine loads new weights, in seconds, and turns requests away.
+# How long an engine loads new weights, in seconds; meanwhile it refuses prompts.
 _LOAD_SECONDS = 0.4
-# An order that gets no answer is carried out so many seconds later.
+# The bounds of the delay after which an order without an answer is carried out.
 _ORDER_DELAY_SECONDS = (2.0, 12.0)
 _EVENT_SECONDS = 0.03
-# One in so many streams is long: begun 2.5 s after the SIGTERM of its host or
-# later, it outlasts the rest of the 8 s that the host has. A target that leaves
-# serves on for 8 s, of which it may be sent requests for 2.5 s.
+# One in _LONG_ONE_IN streams is long: if it begins 2.5 s or more after the SIGTERM of
+# its host, it outlasts the host's 8 s of grace. It fits into the time of a leaving
+# target, which serves for 8 s more and may be sent requests in the first 2.5 s of them.
 _LONG_ONE_IN = 5
 _LONG_EVENTS, _LONG_EVENT_SECONDS = 12, 0.45
 _WORK_SECONDS = 0.02
 _FEWEST_EVENTS, _EVENT_CHOICES = 3, 8
-# An engine that runs a request with this body crashes.
+# The body of a prompt that crashes the engine which runs it.
 CRASHING = b"crashes engines"
 
 
 def event_count(request):
-    """Return how many events the answer to a request has."""
+    """Return the number of events in the answer to a request."""
     if _is_long(request):
         return _LONG_EVENTS
     return _FEWEST_EVENTS + sum(request.encode()) % _EVENT_CHOICES
 
 
 def event_seconds(request):
-    """Return how long each event of the answer to a request takes."""
+    """Return the seconds that each event of the answer to a request takes."""
     return _LONG_EVENT_SECONDS if _is_long(request) else _EVENT_SECONDS
 
 
@@ -52,25 +52,28 @@
 
 
 class Target(standins.Target):
-    """A plain service or an engine.
+    """A target of the plain service, or an engine.
 
     Parameters
     ----------
     listed_address : str
-        Where daemons reach it, by way of a proxy.
+        The address of the proxy through which daemons reach it.
     now : callable
         The soak's clock.
     source : random.Random
-        Chooses which runs fail.
+        Decides which runs fail.
 
     Attributes
     ----------
     late_orders_share : float
-        Of the orders, how many get no answer and are carried out later.
+        The share of orders that get no answer and are carried out later.
     order_source : random.Random
-        Chooses these orders and when they are carried out.
+        Decides which orders these are, and when they are carried out.
     crashed_by : callable
-        Called with the target and a path when a request crashes it.
+        Called with the target and the request's path when a request crashes it.
+    orders_taken : int
+        The number of orders carried out in this incarnation, the ``Seq`` of its
+        report. An order that expects another number is refused.
     """
 
     def __init__(self, name, address, service, listed_address, journal, now, source):
@@ -97,7 +100,7 @@
         }
 
     def crash(self):
-        """Break all connections and take no more, as a dead process does."""
+        """Break all connections and accept no more, as a dead process does."""
         self._server.close()
         for writer in self.writers:
             writer.transport.abort()
@@ -127,7 +130,7 @@
         return json.dumps(value).encode()
 
     def begin_life(self):
-        """Start anew under the same name, with the weights that it had."""
+        """Start a new incarnation under the same name, with the same weights."""
         super().begin_life()
         self.orders_taken = 0
         self._loading_until = 0.0
@@ -136,7 +139,10 @@
         return self._now() < self._loading_until
 
     async def _answer_order(self, order, headers, writer):
-        """Carry an order out, at once or late and without an answer."""
+        """Carry an order out at once and answer it, or late and without an answer.
+
+        A late order is dropped if the target starts a new incarnation meanwhile.
+        """
         delay = 0.0
         if self.order_source.random() < self.late_orders_share:
             delay = self.order_source.uniform(*_ORDER_DELAY_SECONDS)
@@ -231,7 +237,8 @@
             await asyncio.sleep(event_seconds(request))
             text = event(request, number)
             if self._random.random() < self.answers_lost_share:
-                # It dies in the middle of an event, which must not be passed on.
+                # The connection breaks in the middle of an event. The daemon must not
+                # pass the incomplete event on.
                 half = text[: len(text) // 2]
                 writer.write(b"%x\r\n%s\r\n" % (len(half), half))
                 await writer.drain()
--- a/tests/support/soak/world.py
+++ b/tests/support/soak/world.py
@@ -1,4 +1,4 @@
-"""A store, targets and daemons, each behind links that faults can strike."""
+"""A store, targets and daemons, with links between them that faults can disturb."""
 
 import asyncio
 import contextlib
@@ -15,22 +15,22 @@
 _PLAIN, _ENGINE = "desk", "llm"
 _PORTS = 4
 DATA_CENTRES = ("dc-1", "dc-2")
-# A leaving target is listed for this long, in seconds, and serves on for as long
-# after it was removed: longer than anybody may go on sending to it.
+# For how many seconds a leaving target stays listed, and for how many more it serves
+# after its removal from the list. Each is longer than daemons may still send to it.
 _SERVES_ON_SECONDS = 4.0
-# An engine that a request crashed has a successor after so long.
+# The bounds of the time after which an engine that a request crashed is replaced.
 _BACK_AFTER_SECONDS = (0.5, 2.0)
 
 
 class World:
-    """Everything that one soak starts, and its journal.
+    """All servers and processes of one soak, and its journal.
 
     Parameters
     ----------
     seed : int
-        Of all choices.
+        Seed of all random choices.
     daemons : int
-        Entry hosts.
+        The number of entry hosts.
     """
 
     def __init__(self, seed, daemons):
@@ -42,7 +42,8 @@
         self.target_by_name = {}
         self.link_by_daemon = {}
         self.link_by_target = {}
-        # API keys with the account that each belongs to; "bank" is isolated.
+        # Each API key with its account. The account "bank" is isolated: its KV cache is
+        # never shared with other accounts.
         self.keys = (("key-of-acme", "acme"), ("key-of-bank", "bank"))
         self._daemons = daemons
         self._expected_ends = set()
@@ -58,7 +59,7 @@
         self.store = None
 
     def now(self):
-        """Return the seconds since the soak began."""
+        """Return the seconds since the start of the soak."""
         return time.monotonic() - self._start
 
     async def __aenter__(self):
@@ -75,7 +76,7 @@
         for number, ip in enumerate(ips, start=1):
             link = await enter(_link_to(self.store.address))
             name = f"entry-{number}"
-            # Daemons take turns, so that each data centre has half of them.
+            # The data centres alternate, so that each has half of the daemons.
             own_first = DATA_CENTRES if number % 2 else DATA_CENTRES[::-1]
             daemon = standins.Daemon(
                 name, ip, ports, link.address, ips[:3], data_centres=own_first
@@ -95,14 +96,14 @@
         ip = address.partition(":")[0]
         return next(item for item in self.daemon_by_name.values() if item.ip == ip)
 
-    # Changes of the operator.
+    # Changes by the operator.
 
     def recent_versions(self):
-        """Return the newest versions of the configuration."""
+        """Return the three newest versions of the configuration, oldest first."""
         return self._versions[-3:]
 
     async def change_configuration(self):
-        """Add a route for a new version, and drop that of the one before."""
+        """Write a configuration whose probe route is that of a new version."""
         self._versions.append(self._versions[-1] + self.random.choice((1, 2, 5)))
         await self._put_configuration()
         self._note_change("configuration", version=self._versions[-1])
@@ -122,7 +123,7 @@
         await self.store.put("config", "main", made)
 
     async def name_weights(self, version):
-        """Name a new weight version of the one model."""
+        """Announce a new weight version of the only model."""
         self.weights = version
         await self.store.put("versions", "m", {"Model": "m", "Version": version})
         self._note_change("weights", version=version)
@@ -133,7 +134,15 @@
     # Targets.
 
     async def add_target(self, service, link=None, weights=None):
-        """Start and list a target, at a used address if a link is given."""
+        """Start a target and list it in the store.
+
+        Parameters
+        ----------
+        link : sesamespindle.lab.proxy.Proxy, optional
+            A link whose address an earlier target had; a new one by default.
+        weights : int, optional
+            The weight version that it starts with; by default the newest one.
+        """
         self._names += 1
         name = f"{service}-{self._names}"
         address = f"127.0.0.1:{standins.free_ports(1)[0]}"
@@ -145,7 +154,8 @@
         made = targets.Target(
             name, address, service, link.address, self.journal, self.now, source
         )
-        # A new engine has the newest weights, one that starts again those it had.
+        # A new engine starts with the newest weights, a replacement with the weights of
+        # the engine that crashed.
         made.weights = weights or self.weights
         made.late_orders_share = self._late_orders_share
         made.order_source = random.Random(f"orders {self._seed} {name}")
@@ -157,7 +167,7 @@
         return made
 
     async def crash_target(self, target, seconds):
-        """Crash a target; its address serves some other target later."""
+        """Crash a target; after some seconds, another target has its address."""
         if self.target_by_name.pop(target.name, None) is None:
             return
         target.crash()
@@ -170,7 +180,7 @@
             await self.add_target(target.service)
 
     def _crash_by_request(self, target, path):
-        """Crash a target as its process ends: its port refuses from then on."""
+        """Crash a target whose process a request ends, so that its port refuses."""
         task = asyncio.create_task(self._end_and_replace(target, path))
         self._crashing.add(task)
         task.add_done_callback(self._crashing.discard)
@@ -191,7 +201,7 @@
         fault.ended = self.now()
 
     async def restart_target(self, target, seconds):
-        """Crash a target, which then starts again under the name that it had."""
+        """Crash a target, and start it again under its name some seconds later."""
         if self.target_by_name.pop(target.name, None) is None:
             return
         link = self.link_by_target[target.name]
@@ -203,7 +213,7 @@
         await self.store.put("servers", target.name, target.entry())
 
     async def drain_target(self, target):
-        """Have a target leave in order, after another has come."""
+        """Start a target of the same service, then drain and remove the given one."""
         await self.add_target(target.service)
         if self.target_by_name.pop(target.name, None) is None:
             return
@@ -215,13 +225,13 @@
         target.crash()
 
     def delay_orders(self, share):
-        """Have a share of the orders to all targets carried out late."""
+        """Set the share of orders that all targets carry out late."""
         self._late_orders_share = share
         for target in self.target_by_name.values():
             target.late_orders_share = share
 
     def engines(self):
-        """Return the engines that are listed."""
+        """Return the engines that run, in the order of their start."""
         return [
             target
             for target in self.target_by_name.values()
@@ -231,9 +241,9 @@
     # Daemons.
 
     async def end_daemon(self, daemon, number, pause):
-        """Send a signal that ends a daemon, and start it again after its end.
+        """Send a signal that ends a daemon, and start it again after it has exited.
 
-        Where a signal has ended it already, this is one more signal meanwhile.
+        If an earlier call for the daemon isn't finished, only send the signal.
         """
         if daemon.name in self._expected_ends:
             daemon.send_signal(number)
@@ -246,12 +256,12 @@
         self._expected_ends.discard(daemon.name)
 
     async def restart(self, daemon):
-        """Start a daemon that has ended."""
+        """Start a daemon that has exited."""
         self.life_by_daemon[daemon.name] += 1
         await daemon.start()
 
     async def watch_ends(self):
-        """Record and restart daemons that end without a signal, for ever."""
+        """Record and restart daemons that exit without a signal, until cancelled."""
         while True:
             for daemon in self.daemon_by_name.values():
                 if daemon.is_running or daemon.name in self._expected_ends:
@@ -261,7 +271,7 @@
             await asyncio.sleep(0.1)
 
     def note_final_state(self):
-        """Record what the engines run at the end."""
+        """Record the weight version of each engine."""
         self.journal.final_weights_by_engine = {
             engine.name: engine.weights for engine in self.engines()
         }
