--- a/tests/soak/test_crashing.py
+++ b/tests/soak/test_crashing.py
@@ -1,4 +1,4 @@
-"""Short soaks with fixed seeds in which requests crash engines."""
+"""Short soaks with fixed seeds, in which some prompts crash engines."""
 
 import asyncio
 
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""Short soaks with fixed seeds, and seeds that once broke a promise."""
+"""Short soaks with fixed seeds, most of which have shown a broken promise."""
 
 import asyncio
 
@@ -6,31 +6,32 @@
 from soak import play
 
 SEEDS = (
-    # Ends, links, the store and targets fail.
+    # Daemons end, and links, the store and targets fail.
     1,
-    # Two overlapping faults left the stand-in of the store losing answers for
-    # good, so that no engine was given the new weights: a fault of the soak.
+    # Two overlapping faults leave the store's stand-in losing answers for good, so
+    # that no engine is ordered to load the new weights: a fault of the soak itself.
     2011,
-    # One probe was never answered while every process, the soak's own among them,
-    # stood still for seconds beside six played days; not seen in three replays.
+    # One probe gets no answer while every process, the soak's own included, is stalled
+    # for seconds on a machine with much other load. Three repeats didn't show it.
     9112,
-    # Both data centres stop in turn. A host took a long stream 3.05 s after its
-    # SIGTERM, as it took all for a fixed time, and cut it off at its own end; and
-    # for seconds after a data centre was back its hosts weren't named to callers,
-    # as its pulse had fallen, so leaving hosts were named beside them.
+    # The data centres stop one after the other. A host that accepts all requests for a
+    # fixed time after its SIGTERM accepts a long stream 3.05 s after it, and cuts it
+    # off as it exits. For seconds after a data centre is back, directories don't name
+    # its hosts because its pulse has fallen, and name leaving hosts instead.
     80121,
 )
 
-# Weights are named just before daemons end or while they are paused, and targets
-# carry orders out late. A host that had started took the version for named just
-# then, and sent prompts to targets with older weights for 6.4 s from then on. So
-# did one that woke up.
+# Weights are announced just before daemons end or while they are paused, and targets
+# carry orders out late. A host that has just started, or resumes after a pause, counts
+# the version's age from then on, and sends prompts to targets with superseded weights
+# for 6.4 s more.
 SEEDS_WITH_NAMINGS = (
-    # All hosts are killed 0.9 s after a naming, and are back 4 s later; they sent
-    # to all targets until 13.6 s after it.
+    # All hosts are killed 0.9 s after an announcement and are back 4 s later. They send
+    # to all targets until 13.6 s after the announcement.
     4123,
-    # Kills, stops in turn, and two hosts paused as a version was named: these sent
-    # until 10.3 s after it, as the answer to their watch lay there as they woke up.
+    # Hosts are killed and stopped in turn, and two are paused during an announcement.
+    # These send to all targets until 10.3 s after it: the answer to their watch waits
+    # in the socket until they resume, and they take it for new.
     4296,
 )
 
