--- a/tests/soak/test_checker.py
+++ b/tests/soak/test_checker.py
@@ -5,7 +5,7 @@
 import pytest
 from soak import checker, records, targets
 
-_ASKED = records.Asked(
+_SENT = records.SentRequest(
     "r1",
     records.Kind.ONCE,
     "entry-1",
@@ -21,7 +21,7 @@
 )
 _RUN = records.Run("r1", "desk-1", "desk", "/once/r1", 20.05, 200, "acme", None, 5990)
 _CHAT = dataclasses.replace(
-    _ASKED,
+    _SENT,
     kind=records.Kind.CHAT,
     path="/chat/r1",
     body=b"".join(
@@ -33,7 +33,7 @@
     _RUN, target="llm-1", service="llm", path="/chat/r1", weights=1, salt="1"
 )
 _PROBE = dataclasses.replace(
-    _ASKED, kind=records.Kind.PROBE, path="/probe-4/r1", version=4
+    _SENT, kind=records.Kind.PROBE, path="/probe-4/r1", version=4
 )
 _PROBE_RUN = dataclasses.replace(_RUN, path="/probe-4/r1")
 _STOP = records.Fault(
@@ -46,13 +46,13 @@
 
 
 def test_records_of_a_calm_time_break_nothing():
-    assert _promises(asked=[_ASKED], runs=[_RUN]) == set()
-    assert _promises(asked=[_CHAT], runs=[_CHAT_RUN]) == set()
-    assert _promises(asked=[_PROBE], runs=[_PROBE_RUN]) == set()
+    assert _promises(sent_requests=[_SENT], runs=[_RUN]) == set()
+    assert _promises(sent_requests=[_CHAT], runs=[_CHAT_RUN]) == set()
+    assert _promises(sent_requests=[_PROBE], runs=[_PROBE_RUN]) == set()
 
 
 @pytest.mark.parametrize(
-    ("promise", "asked", "runs"),
+    ("promise", "changed", "runs"),
     [
         ("at most once", {}, [_RUN, _RUN]),
         ("not run is true", {"status": 503, "stamp": None}, [_RUN]),
@@ -68,9 +68,9 @@
         ("time that is left", {}, [dataclasses.replace(_RUN, deadline_ms=9000)]),
     ],
 )
-def test_a_broken_promise_to_a_caller_is_found(promise, asked, runs):
-    made = dataclasses.replace(_ASKED, **asked)
-    assert promise in _promises(asked=[made], runs=runs)
+def test_a_broken_promise_to_a_caller_is_found(promise, changed, runs):
+    sent = dataclasses.replace(_SENT, **changed)
+    assert promise in _promises(sent_requests=[sent], runs=runs)
 
 
 @pytest.mark.parametrize(
@@ -83,41 +83,41 @@
     ],
 )
 def test_a_stream_with_a_gap_or_of_another_request_is_found(promise, status, body):
-    made = dataclasses.replace(_CHAT, status=status, body=body)
-    assert promise in _promises(asked=[made], runs=[_CHAT_RUN])
+    sent = dataclasses.replace(_CHAT, status=status, body=body)
+    assert promise in _promises(sent_requests=[sent], runs=[_CHAT_RUN])
 
 
 def test_a_request_cut_off_by_a_stop_is_found_unless_something_else_failed():
-    cut = dataclasses.replace(_ASKED, status=None, stamp=None)
+    cut = dataclasses.replace(_SENT, status=None, stamp=None)
     promise = "a stop cuts nothing off"
-    assert promise in _promises(asked=[cut], runs=[_RUN], faults=[_STOP])
+    assert promise in _promises(sent_requests=[cut], runs=[_RUN], faults=[_STOP])
     crash = records.Fault("crash", records.Area.TARGET, "desk-1", 18.0, 20.0)
-    found = _promises(asked=[cut], runs=[_RUN], faults=[_STOP, crash])
-    assert promise not in found
+    promises = _promises(sent_requests=[cut], runs=[_RUN], faults=[_STOP, crash])
+    assert promise not in promises
 
 
-def _cut_stream(sent_at, ended_at, request):
-    asked = dataclasses.replace(
+def _cut_stream(sent_at, ended_at, request_id):
+    sent = dataclasses.replace(
         _CHAT,
-        request=request,
-        path=f"/chat/{request}",
+        request_id=request_id,
+        path=f"/chat/{request_id}",
         sent_at=sent_at,
         ended_at=ended_at,
         status=None,
-        body=targets.event(request, 1),
+        body=targets.event(request_id, 1),
         deadline_ms=9500,
     )
     run = dataclasses.replace(
-        _CHAT_RUN, request=request, path=asked.path, at=sent_at + 0.01
+        _CHAT_RUN, request_id=request_id, path=sent.path, at=sent_at + 0.01
     )
-    return asked, run
+    return sent, run
 
 
 def _request_of_stream(is_long):
     return next(
-        request
-        for request in map(str, range(100))
-        if (targets.event_seconds(request) > 0.4) == is_long
+        request_id
+        for request_id in map(str, range(100))
+        if (targets.event_seconds(request_id) > 0.4) == is_long
     )
 
 
@@ -144,37 +144,40 @@
     since_stop, lasts, is_long, promises
 ):
     sent_at = _STOP.began + since_stop
-    asked, run = _cut_stream(sent_at, sent_at + lasts, _request_of_stream(is_long))
+    sent, run = _cut_stream(sent_at, sent_at + lasts, _request_of_stream(is_long))
     stop = dataclasses.replace(_STOP, ended=_STOP.began + 8.5)
-    assert _promises(asked=[asked], runs=[run], faults=[stop]) == promises
+    assert _promises(sent_requests=[sent], runs=[run], faults=[stop]) == promises
     crash = records.Fault("crash", records.Area.TARGET, "llm-1", 18.0, 20.0)
-    assert _promises(asked=[asked], runs=[run], faults=[stop, crash]) == set()
+    assert _promises(sent_requests=[sent], runs=[run], faults=[stop, crash]) == set()
 
 
 def test_a_failure_in_place_of_the_answer_to_a_late_request_is_found():
     late = dataclasses.replace(
-        _ASKED, sent_at=22.1, ended_at=22.2, status=502, stamp=None
+        _SENT, sent_at=22.1, ended_at=22.2, status=502, stamp=None
     )
     run = dataclasses.replace(_RUN, at=22.15)
-    found = _promises(asked=[late], runs=[run], faults=[_STOP])
-    assert found == {"what is taken late is finished"}
+    promises = _promises(sent_requests=[late], runs=[run], faults=[_STOP])
+    assert promises == {"what is taken late is finished"}
     in_time = dataclasses.replace(late, sent_at=21.9)
-    assert _promises(asked=[in_time], runs=[run], faults=[_STOP]) == set()
+    assert _promises(sent_requests=[in_time], runs=[run], faults=[_STOP]) == set()
     refused = dataclasses.replace(late, status=503)
-    assert _promises(asked=[refused], faults=[_STOP]) == set()
+    assert _promises(sent_requests=[refused], faults=[_STOP]) == set()
 
 
 def test_a_directory_that_names_a_daemon_which_leaves_is_found():
     """A directory names a leaving daemon although one that stays is available."""
     promise = {"directories name who stays"}
-    told = records.Told("entry-1", 21.1, ("entry-1", "entry-2"))
-    stays = records.Told("entry-2", 1.0, ("entry-1", "entry-2"))
-    assert _promises(told=[told, stays], faults=[_STOP]) == promise
-    early = dataclasses.replace(told, asked_at=20.9)
-    assert _promises(told=[early, stays], faults=[_STOP]) == set()
-    right = dataclasses.replace(told, named=("entry-2",))
-    assert _promises(told=[right, stays], faults=[_STOP]) == set()
-    assert _promises(told=[told, stays], faults=[_STOP], ready_at=17.0) == set()
+    answer = records.DirectoryAnswer("entry-1", 21.1, ("entry-1", "entry-2"))
+    stays = records.DirectoryAnswer("entry-2", 1.0, ("entry-1", "entry-2"))
+    assert _promises(directory_answers=[answer, stays], faults=[_STOP]) == promise
+    early = dataclasses.replace(answer, asked_at=20.9)
+    assert _promises(directory_answers=[early, stays], faults=[_STOP]) == set()
+    right = dataclasses.replace(answer, named=("entry-2",))
+    assert _promises(directory_answers=[right, stays], faults=[_STOP]) == set()
+    assert (
+        _promises(directory_answers=[answer, stays], faults=[_STOP], ready_at=17.0)
+        == set()
+    )
 
 
 @pytest.mark.parametrize(
@@ -198,39 +201,41 @@
 def test_a_directory_may_name_a_leaving_daemon_only_where_it_knows_no_other(
     subject, area, began, ended, planned, is_found
 ):
-    told = records.Told("entry-3", 21.5, ("entry-1",))
-    stays = records.Told("entry-2", 1.0, ("entry-2",))
+    answer = records.DirectoryAnswer("entry-3", 21.5, ("entry-1",))
+    stays = records.DirectoryAnswer("entry-2", 1.0, ("entry-2",))
     other = records.Fault("SIGTERM", area, subject, began, ended, planned=planned)
     stop = dataclasses.replace(_STOP, ended=27.0)
     faults = [stop, other]
     if subject == "entry-3":
-        found = _promises(told=[told, stays], faults=faults)
+        promises = _promises(directory_answers=[answer, stays], faults=faults)
     else:
         # The daemon that answers leaves too, so that only the other one could stay.
         own = dataclasses.replace(stop, subject="entry-3")
-        found = _promises(told=[told, stays], faults=[*faults, own])
-    assert ("directories name who stays" in found) == is_found
+        promises = _promises(directory_answers=[answer, stays], faults=[*faults, own])
+    assert ("directories name who stays" in promises) == is_found
 
 
 def test_an_old_configuration_is_found_after_its_time():
     promise = "configuration in force"
     dropped = records.Change("configuration", 17.0, version=5)
-    assert promise in _promises(asked=[_PROBE], runs=[_PROBE_RUN], changes=[dropped])
+    assert promise in _promises(
+        sent_requests=[_PROBE], runs=[_PROBE_RUN], changes=[dropped]
+    )
     unknown = dataclasses.replace(_PROBE, status=404, stamp=None)
     added = records.Change("configuration", 17.0, version=4)
-    assert promise in _promises(asked=[unknown], changes=[added])
+    assert promise in _promises(sent_requests=[unknown], changes=[added])
     away = records.Fault("is_away", records.Area.STORE, "", 16.0, 18.0)
-    found = _promises(asked=[unknown], changes=[added], faults=[away])
-    assert promise not in found
+    promises = _promises(sent_requests=[unknown], changes=[added], faults=[away])
+    assert promise not in promises
 
 
 def test_a_daemon_that_goes_back_to_an_older_configuration_is_found():
-    newer = dataclasses.replace(_PROBE, request="r0", version=5, ended_at=10.0)
-    found = _promises(asked=[newer, _PROBE], runs=[_PROBE_RUN])
-    assert "configuration never back" in found
-    restarted = dataclasses.replace(_PROBE, life=2)
-    found = _promises(asked=[newer, restarted], runs=[_PROBE_RUN])
-    assert "configuration never back" not in found
+    newer = dataclasses.replace(_PROBE, request_id="r0", version=5, ended_at=10.0)
+    promises = _promises(sent_requests=[newer, _PROBE], runs=[_PROBE_RUN])
+    assert "configuration never back" in promises
+    restarted = dataclasses.replace(_PROBE, incarnation=2)
+    promises = _promises(sent_requests=[newer, restarted], runs=[_PROBE_RUN])
+    assert "configuration never back" not in promises
 
 
 def test_work_for_a_target_that_left_is_found():
@@ -255,21 +260,21 @@
 
 def test_old_weights_are_found():
     named = records.Change("weights", 11.0, version=2)
-    found = _promises(runs=[_CHAT_RUN], changes=[named])
-    assert found == {"newest weights"}
-    found = _promises(changes=[named], final_weights_by_engine={"llm-1": 1})
-    assert found == {"all engines follow"}
+    promises = _promises(runs=[_CHAT_RUN], changes=[named])
+    assert promises == {"newest weights"}
+    promises = _promises(changes=[named], final_weights_by_engine={"llm-1": 1})
+    assert promises == {"all engines follow"}
 
 
 def _is_late_run_found(*faults):
     """Return whether ``entry-1``'s run 11 s after an announcement breaks a promise."""
     named = records.Change("weights", 20.0, version=2)
-    asked = dataclasses.replace(_CHAT, sent_at=31.0, ended_at=31.5)
+    sent = dataclasses.replace(_CHAT, sent_at=31.0, ended_at=31.5)
     run = dataclasses.replace(_CHAT_RUN, at=31.0)
-    made = {"asked": [asked], "runs": [run], "changes": [named]}
-    found = _promises(**made, faults=list(faults))
-    assert found <= {"newest weights"}
-    return bool(found)
+    recorded = {"sent_requests": [sent], "runs": [run], "changes": [named]}
+    promises = _promises(**recorded, faults=list(faults))
+    assert promises <= {"newest weights"}
+    return bool(promises)
 
 
 @pytest.mark.parametrize("subject", ["entry-1", "entry-2", ""])
@@ -349,36 +354,36 @@
     early = dataclasses.replace(_CHAT_RUN, at=22.4)
     assert _promises(runs=[early], changes=[named], faults=harmed) == set()
     late = dataclasses.replace(_CHAT_RUN, at=22.6)
-    found = _promises(runs=[late], changes=[named], faults=harmed)
-    assert found == {"newest weights"}
+    promises = _promises(runs=[late], changes=[named], faults=harmed)
+    assert promises == {"newest weights"}
     # Spans of less than 2 s don't count: 14.5 to 16 s and 16.5 to 18 s.
     split = records.Fault("link freeze", records.Area.TARGET, "llm-2", 16.0, 16.5)
-    found = _promises(runs=[late], changes=[named], faults=[*harmed, split])
-    assert found == set()
+    promises = _promises(runs=[late], changes=[named], faults=[*harmed, split])
+    assert promises == set()
 
 
 def test_kv_cache_that_is_shared_wrongly_is_found():
     for changed in ({"weights": 2}, {"account": "bank"}):
-        other = dataclasses.replace(_CHAT_RUN, request="r2", **changed)
+        other = dataclasses.replace(_CHAT_RUN, request_id="r2", **changed)
         assert _promises(runs=[_CHAT_RUN, other]) == {"KV cache kept apart"}
 
 
 def test_what_does_not_recover_and_what_ends_by_itself_is_found():
-    refused = dataclasses.replace(_ASKED, status=503, stamp=None)
-    assert "recovers" in _promises(asked=[refused], recovered_at=5.0)
+    refused = dataclasses.replace(_SENT, status=503, stamp=None)
+    assert "recovers" in _promises(sent_requests=[refused], recovered_at=5.0)
     assert _promises(exits=[("entry-1", 1)]) == {"the daemon stays up"}
 
 
 def _find_crashing(late_runs, *faults):
     crashes = [records.Crash("/chat/bad", f"llm-{n}", 10.0 + n) for n in range(3)]
     runs = [
-        dataclasses.replace(_RUN, request="bad", path="/chat/bad", at=16.0 + 0.1 * n)
+        dataclasses.replace(_RUN, request_id="bad", path="/chat/bad", at=16.0 + 0.1 * n)
         for n in range(late_runs)
     ]
     return _promises(
         crashes=crashes,
         runs=runs,
-        daemon_by_crashing={"bad": "entry-1"},
+        daemon_by_crash_attempt={"bad": "entry-1"},
         faults=list(faults),
     )
 
--- a/tests/soak/test_crashing.py
+++ b/tests/soak/test_crashing.py
@@ -9,7 +9,7 @@
 @pytest.mark.parametrize("seed", (31, 32))
 def test_promises_hold_while_requests_crash_engines(seed):
     outcome = asyncio.run(
-        play.play(seed, 6.0, restarts=False, namings=False, crashes=True)
+        play.play(seed, 6.0, restarts=False, announcements=False, crashes=True)
     )
     assert outcome.violations == []
     assert len(outcome.journal.crashes) >= 4
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -25,7 +25,7 @@
 # carry orders out late. A host that has just started, or resumes after a pause, counts
 # the version's age from then on, and sends prompts to targets with superseded weights
 # for 6.4 s more.
-SEEDS_WITH_NAMINGS = (
+SEEDS_WITH_ANNOUNCEMENTS = (
     # All hosts are killed 0.9 s after an announcement and are back 4 s later. They send
     # to all targets until 13.6 s after the announcement.
     4123,
@@ -38,18 +38,20 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_promises_hold_through_a_seeded_soak(seed):
-    outcome = asyncio.run(play.play(seed, seconds=12.0, restarts=False, namings=False))
+    outcome = asyncio.run(
+        play.play(seed, seconds=12.0, restarts=False, announcements=False)
+    )
     assert outcome.violations == []
-    assert len(outcome.journal.asked) > 100
+    assert len(outcome.journal.sent_requests) > 100
 
 
 def test_promises_hold_while_targets_start_again_under_their_names():
-    outcome = asyncio.run(play.play(7, seconds=12.0, namings=False))
+    outcome = asyncio.run(play.play(7, seconds=12.0, announcements=False))
     assert outcome.violations == []
     assert any(fault.what == "restart" for fault in outcome.journal.faults)
 
 
-@pytest.mark.parametrize("seed", SEEDS_WITH_NAMINGS)
+@pytest.mark.parametrize("seed", SEEDS_WITH_ANNOUNCEMENTS)
 def test_promises_hold_while_weights_are_named_as_daemons_fail(seed):
     outcome = asyncio.run(play.play(seed, seconds=4.0))
     assert outcome.violations == []
--- a/tests/support/soak/__main__.py
+++ b/tests/support/soak/__main__.py
@@ -37,13 +37,13 @@
     )
     journal = outcome.journal
     print(
-        f"seed {seed}: {len(journal.asked)} requests, {len(journal.runs)} runs, "
-        f"{len(journal.faults)} faults, {len(journal.changes)} changes, "
-        f"{len(outcome.violations)} violations",
+        f"seed {seed}: {len(journal.sent_requests)} requests, "
+        f"{len(journal.runs)} runs, {len(journal.faults)} faults, "
+        f"{len(journal.changes)} changes, {len(outcome.violations)} violations",
         flush=True,
     )
     for violation in outcome.violations[:10]:
-        print(f"  {violation.promise}: {violation.request} {violation.detail}")
+        print(f"  {violation.promise}: {violation.request_id} {violation.detail}")
     if outcome.violations:
         _keep(seed, outcome)
     return not outcome.violations
--- a/tests/support/soak/callers.py
+++ b/tests/support/soak/callers.py
@@ -10,7 +10,7 @@
 
 # For how many seconds a caller caches an answer of the directory; each time it takes
 # one of these. Some callers cache three times as long as the directory allows.
-_KEPT_SECONDS = (1.0, 3.0)
+_CACHE_SECONDS = (1.0, 3.0)
 _LOOKUP_SECONDS = 1.0
 _CONNECT_SECONDS = 1.0
 # Time-outs of requests other than streams. A leaving daemon may still accept short
@@ -40,21 +40,21 @@
         Provides daemons, API keys and the journal.
     seed : int
         Seed of this caller's random choices.
-    clings : bool
+    stays_with_host : bool
         Whether it stays with its host until a request there ends without an answer,
         even when the directory no longer names that host.
     data_centre : str
         The caller's data centre; it prefers daemons there.
     """
 
-    def __init__(self, world, seed, clings, data_centre):
+    def __init__(self, world, seed, stays_with_host, data_centre):
         self._world = world
         self._data_centre = data_centre
         self._random = random.Random(seed)
-        self._clings = clings
+        self._stays_with_host = stays_with_host
         self._address = None
         self._addresses = []
-        self._kept_until = 0.0
+        self._cached_until = 0.0
         self._ids = (f"{seed:x}-{number:x}" for number in itertools.count(1))
         self._session = None
 
@@ -75,38 +75,38 @@
         weights = list(_WEIGHT_BY_KIND.values())
         while not stopped.is_set():
             kind = self._random.choices(kinds, weights)[0]
-            await self.ask(kind)
+            await self.send_request(kind)
             await asyncio.sleep(self._random.uniform(0, 2 * _PAUSE_SECONDS))
 
-    async def ask(self, kind):
+    async def send_request(self, kind):
         """Send a request, and record and return its result.
 
         Returns
         -------
-        soak.records.Asked or None
+        soak.records.SentRequest or None
             None if no daemon is known.
         """
-        address = await self._choose()
+        address = await self._choose_address()
         if address is None:
             return None
-        asked = await self._send(kind, address)
-        if asked.status is None:
+        sent = await self._send_to(kind, address)
+        if sent.status is None:
             self._address = None
-        self._world.journal.asked.append(asked)
-        return asked
+        self._world.journal.sent_requests.append(sent)
+        return sent
 
-    async def crash(self, path):
+    async def send_crashing_prompt(self, path):
         """Send a prompt that crashes the engine which runs it, to a given path."""
-        address = await self._choose()
+        address = await self._choose_address()
         if address is None:
             return
-        request = next(self._ids)
+        request_id = next(self._ids)
         daemon = self._world.daemon_at(address)
-        self._world.journal.daemon_by_crashing[request] = daemon.name
+        self._world.journal.daemon_by_crash_attempt[request_id] = daemon.name
         key, _ = self._world.keys[0]
         headers = {
             "Host": "a.example",
-            "X-Attempt-Id": request,
+            "X-Attempt-Id": request_id,
             "X-Deadline-Ms": str(_DEADLINES_MS[0]),
             "X-Api-Key": key,
             "X-Model": "m",
@@ -121,25 +121,27 @@
             _DEADLINES_MS[0] / 1000,
             targets.CRASHING,
         )
-        if status is None or not self._clings:
+        if status is None or not self._stays_with_host:
             self._address = None
 
-    async def _choose(self):
+    async def _choose_address(self):
         now = self._world.now()
-        if self._clings and self._address is not None:
+        if self._stays_with_host and self._address is not None:
             return self._address
-        if now >= self._kept_until or not self._addresses:
+        if now >= self._cached_until or not self._addresses:
             found = await self._look_up()
             self._addresses = found or self._addresses
-            self._kept_until = now + self._random.choice(_KEPT_SECONDS)
+            self._cached_until = now + self._random.choice(_CACHE_SECONDS)
         if self._address not in self._addresses:
             self._address = None
         if self._addresses and self._address is None:
-            near = [item for item in self._addresses if self._is_near(item)]
-            self._address = self._random.choice(near or self._addresses)
+            local = [
+                item for item in self._addresses if self._is_in_own_data_centre(item)
+            ]
+            self._address = self._random.choice(local or self._addresses)
         return self._address
 
-    def _is_near(self, address):
+    def _is_in_own_data_centre(self, address):
         return self._world.daemon_at(address).data_centre == self._data_centre
 
     async def _look_up(self):
@@ -158,25 +160,25 @@
             except (TimeoutError, aiohttp.ClientError, KeyError):
                 continue
             named = tuple(self._world.daemon_at(item).name for item in addresses)
-            told = records.Told(daemon.name, asked_at, named)
-            self._world.journal.told.append(told)
+            answer = records.DirectoryAnswer(daemon.name, asked_at, named)
+            self._world.journal.directory_answers.append(answer)
             if addresses:
                 return addresses
         return None
 
-    async def _send(self, kind, address):
+    async def _send_to(self, kind, address):
         world = self._world
-        request = next(self._ids)
+        request_id = next(self._ids)
         key, account = self._random.choice(world.keys)
         version, deadline_ms = 0, self._random.choice(_DEADLINES_MS)
         if kind is records.Kind.PROBE:
             version = self._random.choice(world.recent_versions())
-        path = _path(kind, request, version)
+        path = _path(kind, request_id, version)
         if kind is records.Kind.CHAT:
             deadline_ms = _STREAM_DEADLINE_MS
         headers = {
             "Host": "a.example",
-            "X-Attempt-Id": request,
+            "X-Attempt-Id": request_id,
             "X-Deadline-Ms": str(deadline_ms),
             "X-Api-Key": key,
         }
@@ -185,18 +187,18 @@
             headers |= {
                 "X-Model": "m",
                 "X-Token-Count": "120,40",
-                "X-Prompt-Prefix": f"c{context}:100,{request}:20",
+                "X-Prompt-Prefix": f"c{context}:100,{request_id}:20",
             }
         daemon = world.daemon_at(address)
-        life, sent_at = world.life_by_daemon[daemon.name], world.now()
+        incarnation, sent_at = world.incarnation_by_daemon[daemon.name], world.now()
         status, body, stamp = await self._exchange(
             kind, address, path, headers, deadline_ms / 1000
         )
-        return records.Asked(
-            request,
+        return records.SentRequest(
+            request_id,
             kind,
             daemon.name,
-            life,
+            incarnation,
             path,
             account,
             deadline_ms,
@@ -214,8 +216,8 @@
         Without a complete answer, status and stamp are None, and the body is what
         had arrived.
         """
-        plain_read = kind in (records.Kind.READ, records.Kind.PROBE)
-        method = "GET" if plain_read else "POST"
+        is_read = kind in (records.Kind.READ, records.Kind.PROBE)
+        method = "GET" if is_read else "POST"
         body = b""
         try:
             async with (
@@ -224,7 +226,7 @@
                     method,
                     f"http://{address}{path}",
                     headers=headers,
-                    data=None if plain_read else content,
+                    data=None if is_read else content,
                 ) as response,
             ):
                 stamp = response.headers.get("X-Server-Stamp")
@@ -235,7 +237,7 @@
             return None, body, None
 
 
-def _path(kind, request, version):
+def _path(kind, request_id, version):
     if kind is records.Kind.PROBE:
-        return f"/probe-{version}/{request}"
-    return f"/{kind.value}/{request}"
+        return f"/probe-{version}/{request_id}"
+    return f"/{kind.value}/{request_id}"
--- a/tests/support/soak/checker.py
+++ b/tests/support/soak/checker.py
@@ -14,43 +14,43 @@
 # contact with the store after which bounds apply again, and the time in which a
 # leaving target's traffic ends, a new configuration is active, a daemon no longer
 # answers by an older configuration, and engines run new weights.
-_CONTACT = 3.0
-_DRAIN = 2.0
-_CONFIGURATION = 2.0
-_ROLLBACK = 0.25
-_WEIGHTS = 8.0
-# New weights are also due once undisturbed spans add up to _WEIGHTS_IN_ALL seconds;
-# only spans of at least _WEIGHTS_SPAN seconds count.
-_WEIGHTS_SPAN = 2.0
-_WEIGHTS_IN_ALL = 11.0
+_CONTACT_SECONDS = 3.0
+_DRAIN_SECONDS = 2.0
+_CONFIGURATION_SECONDS = 2.0
+_ROLLBACK_SECONDS = 0.25
+_WEIGHTS_SECONDS = 8.0
+# New weights are also due once undisturbed spans add up to _WEIGHTS_TOTAL_SECONDS; only
+# spans of at least _WEIGHTS_MIN_SPAN_SECONDS count.
+_WEIGHTS_MIN_SPAN_SECONDS = 2.0
+_WEIGHTS_TOTAL_SECONDS = 11.0
 # Seconds between the last order of one leaseholder and the first of the next.
-_LEASE = 3.0
-# Once a request has crashed _CRASHES targets, at most _MOST_RETRIES more runs of it
-# may start late.
-_CRASHES, _MOST_RETRIES = 3, 3
+_LEASE_SECONDS = 3.0
+# Once a request has crashed _CRASH_LIMIT targets, at most _MAX_LATE_RUNS more runs of
+# it may start late.
+_CRASH_LIMIT, _MAX_LATE_RUNS = 3, 3
 # Seconds after the last fault from which on all requests must succeed.
-_RECOVER = 12.0
+_RECOVERY_SECONDS = 12.0
 # Seconds that a daemon has to exit after SIGTERM.
-_GRACE = 8.0
+_GRACE_SECONDS = 8.0
 # For this many seconds after its SIGTERM, callers that can't know of it may still
 # send requests to a daemon. Those of their streams that last into the last sixth of
 # the grace time may be cut off.
-_TAKEN_BLINDLY = 3.0
-_LAST_SIXTH = _GRACE * 5 / 6
-# From _TOLD_WITHIN seconds after its SIGTERM on, no directory may name a leaving
+_UNAWARE_CALLERS_SECONDS = 3.0
+_LAST_SIXTH_SECONDS = _GRACE_SECONDS * 5 / 6
+# From _UNLISTED_AFTER_SECONDS after its SIGTERM on, no directory may name a leaving
 # daemon if another is available. Another one counts if it has been available for
-# _KNOWN_WITHIN seconds: 4 s for its start and 1 s until its peers know it.
-_TOLD_WITHIN = 2.0
-_KNOWN_WITHIN = 5.0
+# _KNOWN_AFTER_SECONDS: 4 s for its start and 1 s until its peers know it.
+_UNLISTED_AFTER_SECONDS = 2.0
+_KNOWN_AFTER_SECONDS = 5.0
 # By how much the deadline sent to a target may exceed the caller's.
 _DEADLINE_SLACK_MS = 500
 # The error of the soak's own times, in seconds. The proxies, callers and targets that
 # take them share one event loop, which is delayed by some tenths of a second on a
 # busy machine.
-_SLACK = 0.5
+_CLOCK_SLACK_SECONDS = 0.5
 # A request that was cut off sooner than this after it was sent, in seconds, may have
 # been in transit as the daemon closed its idle connection.
-_CROSSED = 0.2
+_IN_TRANSIT_SECONDS = 0.2
 # Status codes which promise that no target has run the request.
 _NOT_RUN = frozenset((408, 421, 429, 503))
 _EVENT = re.compile(rb"id: (\d+)\ndata: (.*)\n")
@@ -63,7 +63,7 @@
     """A broken promise, the id of the request concerned, and the evidence."""
 
     promise: str
-    request: str
+    request_id: str
     detail: str
 
 
@@ -71,195 +71,208 @@
     """Return a list of a `Violation` for each broken promise in a journal."""
     runs_by_request = collections.defaultdict(list)
     for run in journal.runs:
-        runs_by_request[run.request].append(run)
-    found = []
-    for asked in journal.asked:
-        runs = runs_by_request[asked.request]
-        found += _check_answer(asked, runs)
-        found += _check_whether_run(asked, runs)
-        found += _check_sends(asked, runs)
-        found += _check_graceful_stop(asked, runs, journal)
-        found += _check_configuration(asked, journal)
-    found += _check_directory(journal)
-    found += _check_rollback(journal)
-    found += _check_leaving(journal)
-    found += _check_holders(journal.orders)
-    found += _check_weights(journal)
-    found += _check_salts(journal.runs)
-    found += _check_recovery(journal)
-    found += _check_crashing(journal)
-    found += [
+        runs_by_request[run.request_id].append(run)
+    violations = []
+    for sent in journal.sent_requests:
+        runs = runs_by_request[sent.request_id]
+        violations += _check_answer(sent, runs)
+        violations += _check_whether_run(sent, runs)
+        violations += _check_sends(sent, runs)
+        violations += _check_graceful_stop(sent, runs, journal)
+        violations += _check_configuration(sent, journal)
+    violations += _check_directory(journal)
+    violations += _check_rollback(journal)
+    violations += _check_leaving(journal)
+    violations += _check_holders(journal.orders)
+    violations += _check_weights(journal)
+    violations += _check_salts(journal.runs)
+    violations += _check_recovery(journal)
+    violations += _check_crashing(journal)
+    violations += [
         Violation("the daemon stays up", "", f"{daemon} exited by itself with {code}")
         for daemon, code in journal.exits
     ]
-    return found
+    return violations
 
 
-def _check_answer(asked, runs):
+def _check_answer(sent, runs):
     """Check that a success is the complete answer of a target that ran the request.
 
     Also check that a proper request isn't refused as unknown, and that a failure that
     names a target has the status which that target sent.
     """
-    if asked.status in (401, 404) and asked.kind is not _Kind.PROBE:
-        yield _broken("proper requests are served", asked, f"status {asked.status}")
-    if asked.status != 200:
-        stamped = asked.stamp is not None and asked.status is not None
-        if stamped and asked.status not in {run.status for run in runs}:
-            yield _broken("failures are the target's", asked, f"{asked.status}")
+    if sent.status in (401, 404) and sent.kind is not _Kind.PROBE:
+        yield _violation("proper requests are served", sent, f"status {sent.status}")
+    if sent.status != 200:
+        stamped = sent.stamp is not None and sent.status is not None
+        if stamped and sent.status not in {run.status for run in runs}:
+            yield _violation("failures are the target's", sent, f"{sent.status}")
         return
-    if asked.stamp not in {run.target for run in runs}:
-        yield _broken("whole answer", asked, f"stamp {asked.stamp}, runs {runs}")
-    elif asked.kind is not _Kind.CHAT:
-        if asked.body != targets.plain_answer(asked.stamp, asked.request):
-            yield _broken("whole answer", asked, repr(asked.body))
+    if sent.stamp not in {run.target for run in runs}:
+        yield _violation("whole answer", sent, f"stamp {sent.stamp}, runs {runs}")
+    elif sent.kind is not _Kind.CHAT:
+        if sent.body != targets.plain_answer(sent.stamp, sent.request_id):
+            yield _violation("whole answer", sent, repr(sent.body))
     else:
-        count = targets.event_count(asked.request)
-        if asked.body != _events(asked.request, count):
-            yield _broken("whole stream", asked, repr(asked.body))
+        count = targets.event_count(sent.request_id)
+        if sent.body != _events(sent.request_id, count):
+            yield _violation("whole stream", sent, repr(sent.body))
 
 
-def _events(request, count):
-    return b"".join(targets.event(request, number + 1) for number in range(count))
+def _events(request_id, count):
+    return b"".join(targets.event(request_id, number + 1) for number in range(count))
 
 
-def _check_whether_run(asked, runs):
+def _check_whether_run(sent, runs):
     """Check that a ONCE request ran at most once, and that "not run" is true.
 
     Also check that a stream without a complete answer has its events in order.
     """
-    if asked.kind is _Kind.ONCE and len(runs) > 1:
-        yield _broken("at most once", asked, f"runs {runs}")
-    if asked.status in _NOT_RUN and runs and asked.kind is _Kind.ONCE:
-        yield _broken("not run is true", asked, f"{asked.status}, runs {runs}")
-    if asked.kind is _Kind.CHAT and asked.status is None:
-        received = _EVENT.findall(asked.body)
+    if sent.kind is _Kind.ONCE and len(runs) > 1:
+        yield _violation("at most once", sent, f"runs {runs}")
+    if sent.status in _NOT_RUN and runs and sent.kind is _Kind.ONCE:
+        yield _violation("not run is true", sent, f"{sent.status}, runs {runs}")
+    if sent.kind is _Kind.CHAT and sent.status is None:
+        received = _EVENT.findall(sent.body)
         expected = [
-            (str(number + 1).encode(), f"{asked.request}/{number + 1}".encode())
+            (str(number + 1).encode(), f"{sent.request_id}/{number + 1}".encode())
             for number in range(len(received))
         ]
         if received != expected:
-            yield _broken("events in order", asked, repr(asked.body))
+            yield _violation("events in order", sent, repr(sent.body))
 
 
-def _check_sends(asked, runs):
+def _check_sends(sent, runs):
     """Check that targets get the unchanged path, the account and no API key.
 
     Also check the service, and that the deadline isn't later than the caller's.
     """
     for run in runs:
-        service = "llm" if asked.kind is _Kind.CHAT else "desk"
+        service = "llm" if sent.kind is _Kind.CHAT else "desk"
         if run.service != service:
-            yield _broken("the route's service", asked, f"ran at {run.target}")
-        if run.path != asked.path:
-            yield _broken("path unchanged", asked, run.path)
-        if run.account != asked.account or run.key is not None:
-            yield _broken("account for key", asked, f"{run.account}, {run.key}")
-        limit = asked.deadline_ms + _DEADLINE_SLACK_MS
+            yield _violation("the route's service", sent, f"ran at {run.target}")
+        if run.path != sent.path:
+            yield _violation("path unchanged", sent, run.path)
+        if run.account != sent.account or run.key is not None:
+            yield _violation("account for key", sent, f"{run.account}, {run.key}")
+        limit = sent.deadline_ms + _DEADLINE_SLACK_MS
         if run.deadline_ms is None or run.deadline_ms > limit:
-            yield _broken("time that is left", asked, f"{run.deadline_ms} ms")
+            yield _violation("time that is left", sent, f"{run.deadline_ms} ms")
 
 
-def _check_graceful_stop(asked, runs, journal):
+def _check_graceful_stop(sent, runs, journal):
     """Check that a planned stop of a daemon, without other faults, cuts nothing off."""
     stopped = [
         fault
         for fault in journal.faults
         if fault.planned
         and fault.area is _Area.DAEMON
-        and fault.subject == asked.daemon
-        and fault.began <= asked.ended_at
-        and fault.ended >= asked.sent_at
+        and fault.subject == sent.daemon
+        and fault.began <= sent.ended_at
+        and fault.ended >= sent.sent_at
     ]
     unplanned = (fault for fault in journal.faults if not fault.planned)
-    if not stopped or not _calm(unplanned, asked.sent_at, asked.ended_at):
+    if not stopped or not _is_undisturbed(unplanned, sent.sent_at, sent.ended_at):
         return
-    crossed = not runs and asked.ended_at - asked.sent_at < _CROSSED
-    terms = [fault.began for fault in stopped if fault.what == "SIGTERM"]
-    outlasts = terms and _may_outlast(asked, runs, terms[0])
-    if asked.status is None and not crossed and not outlasts:
-        yield _broken("a stop cuts nothing off", asked, f"{stopped[0]}, {len(runs)}")
-    late = terms and asked.sent_at > terms[0] + _TAKEN_BLINDLY
-    if late and runs and asked.status not in {run.status for run in runs}:
-        detail = f"{asked.status}, sent {asked.sent_at - terms[0]:.2f} s after"
-        yield _broken("what is taken late is finished", asked, detail)
-
-
-def _may_outlast(asked, runs, stopped_at):
+    was_in_transit = not runs and sent.ended_at - sent.sent_at < _IN_TRANSIT_SECONDS
+    sigterm_times = [fault.began for fault in stopped if fault.what == "SIGTERM"]
+    outlasts = sigterm_times and _may_outlast(sent, runs, sigterm_times[0])
+    if sent.status is None and not was_in_transit and not outlasts:
+        yield _violation("a stop cuts nothing off", sent, f"{stopped[0]}, {len(runs)}")
+    late = sigterm_times and sent.sent_at > sigterm_times[0] + _UNAWARE_CALLERS_SECONDS
+    if late and runs and sent.status not in {run.status for run in runs}:
+        detail = f"{sent.status}, sent {sent.sent_at - sigterm_times[0]:.2f} s after"
+        yield _violation("what is taken late is finished", sent, detail)
+
+
+def _may_outlast(sent, runs, stopped_at):
     """Return whether a stream was sent in time and still ran as its host exited."""
-    if asked.kind is not _Kind.CHAT or not runs:
+    if sent.kind is not _Kind.CHAT or not runs:
         return False
-    seconds = targets.event_count(asked.request) * targets.event_seconds(asked.request)
-    sent_in_time = asked.sent_at <= stopped_at + _TAKEN_BLINDLY
-    cut_at = min(asked.ended_at, runs[0].at + seconds)
-    return sent_in_time and cut_at >= stopped_at + _LAST_SIXTH
+    seconds = targets.event_count(sent.request_id) * targets.event_seconds(
+        sent.request_id
+    )
+    sent_in_time = sent.sent_at <= stopped_at + _UNAWARE_CALLERS_SECONDS
+    cut_at = min(sent.ended_at, runs[0].at + seconds)
+    return sent_in_time and cut_at >= stopped_at + _LAST_SIXTH_SECONDS
 
 
 def _check_directory(journal):
     """Check that no directory names a leaving daemon while another is available."""
-    struck = [fault for fault in journal.faults if fault.area is not _Area.TARGET]
-    unplanned = [fault for fault in struck if not fault.planned]
-    at_daemons = [fault for fault in struck if fault.area is _Area.DAEMON]
-    names = {told.daemon for told in journal.told}
-    for told in journal.told:
-        since = told.asked_at - _KNOWN_WITHIN
-        new = any(
-            fault.subject == told.daemon and since < fault.ended <= told.asked_at
-            for fault in at_daemons
+    host_faults = [fault for fault in journal.faults if fault.area is not _Area.TARGET]
+    unplanned = [fault for fault in host_faults if not fault.planned]
+    daemon_faults = [fault for fault in host_faults if fault.area is _Area.DAEMON]
+    names = {answer.daemon for answer in journal.directory_answers}
+    for answer in journal.directory_answers:
+        since = answer.asked_at - _KNOWN_AFTER_SECONDS
+        is_new = any(
+            fault.subject == answer.daemon and since < fault.ended <= answer.asked_at
+            for fault in daemon_faults
         )
-        if new or since < journal.ready_at:
+        if is_new or since < journal.ready_at:
             continue
-        lately = [
+        recent = [
             fault
-            for fault in at_daemons
-            if fault.began <= told.asked_at and fault.ended > since
+            for fault in daemon_faults
+            if fault.began <= answer.asked_at and fault.ended > since
         ]
-        there = names - {fault.subject for fault in lately}
+        available = names - {fault.subject for fault in recent}
         leaving = {
             fault.subject
-            for fault in lately
+            for fault in recent
             if fault.what == "SIGTERM"
-            and fault.began + _TOLD_WITHIN < told.asked_at < fault.ended
+            and fault.began + _UNLISTED_AFTER_SECONDS < answer.asked_at < fault.ended
         }
-        wrong = leaving.intersection(told.named)
-        if there and wrong and _calm(unplanned, since, told.asked_at):
-            detail = f"{told} names {wrong}, though {there} are available"
+        wrongly_named = leaving.intersection(answer.named)
+        if (
+            available
+            and wrongly_named
+            and _is_undisturbed(unplanned, since, answer.asked_at)
+        ):
+            detail = f"{answer} names {wrongly_named}, though {available} are available"
             yield Violation("directories name who stays", "", detail)
 
 
-def _check_configuration(asked, journal):
+def _check_configuration(sent, journal):
     """Check that a configuration is active in time, if no fault delays it."""
-    if asked.kind is not _Kind.PROBE:
+    if sent.kind is not _Kind.PROBE:
         return
     changes = [change for change in journal.changes if change.what == "configuration"]
-    due = [change for change in changes if change.at + _CONFIGURATION <= asked.sent_at]
+    due = [
+        change
+        for change in changes
+        if change.at + _CONFIGURATION_SECONDS <= sent.sent_at
+    ]
     if not due:
         return
     newest = max(due, key=lambda change: change.version)
-    faults = _striking(journal, asked.daemon)
-    if not _calm(faults, newest.at, asked.ended_at):
+    faults = _faults_affecting(journal, sent.daemon)
+    if not _is_undisturbed(faults, newest.at, sent.ended_at):
         return
-    if asked.version < newest.version and asked.status == 200:
-        detail = f"{asked.daemon} serves {asked.version}, {newest.version} is active"
-        yield _broken("configuration in force", asked, detail)
+    if sent.version < newest.version and sent.status == 200:
+        detail = f"{sent.daemon} serves {sent.version}, {newest.version} is active"
+        yield _violation("configuration in force", sent, detail)
     last = max(changes, key=lambda change: change.version)
-    if asked.version == newest.version == last.version and asked.status == 404:
-        detail = f"{asked.daemon} does not know {asked.version}"
-        yield _broken("configuration in force", asked, detail)
+    if sent.version == newest.version == last.version and sent.status == 404:
+        detail = f"{sent.daemon} does not know {sent.version}"
+        yield _violation("configuration in force", sent, detail)
 
 
 def _check_rollback(journal):
     """Check that a daemon's process never returns to an older configuration."""
     proven = collections.defaultdict(list)
-    for asked in journal.asked:
-        if asked.kind is _Kind.PROBE and asked.status == 200:
-            proven[asked.daemon, asked.life].append(asked)
+    for sent in journal.sent_requests:
+        if sent.kind is _Kind.PROBE and sent.status == 200:
+            proven[sent.daemon, sent.incarnation].append(sent)
     for served in proven.values():
         for newer, older in itertools.permutations(served, 2):
-            later = older.sent_at > newer.ended_at + _ROLLBACK + _SLACK
+            later = (
+                older.sent_at
+                > newer.ended_at + _ROLLBACK_SECONDS + _CLOCK_SLACK_SECONDS
+            )
             if newer.version > older.version and later:
                 detail = f"{older.version} after {newer.version} at {older.daemon}"
-                yield _broken("configuration never back", older, detail)
+                yield _violation("configuration never back", older, detail)
 
 
 def _check_leaving(journal):
@@ -268,12 +281,12 @@
         if change.what != "leaving":
             continue
         for run in journal.runs:
-            late = run.at > change.at + _DRAIN + _SLACK
+            late = run.at > change.at + _DRAIN_SECONDS + _CLOCK_SLACK_SECONDS
             if run.target != change.subject or not late:
                 continue
-            if _calm(journal.faults, change.at, run.at):
+            if _is_undisturbed(journal.faults, change.at, run.at):
                 detail = f"{run.target}, leaving for {run.at - change.at:.2f} s"
-                yield Violation("leaving targets", run.request, detail)
+                yield Violation("leaving targets", run.request_id, detail)
 
 
 def _check_holders(orders):
@@ -284,7 +297,7 @@
             yield Violation("epochs rise", "", f"{earlier}, then {later}")
         if later.holder == earlier.holder:
             continue
-        if later.epoch == earlier.epoch or later.at - earlier.at < _LEASE:
+        if later.epoch == earlier.epoch or later.at - earlier.at < _LEASE_SECONDS:
             yield Violation("one holder", "", f"{earlier}, then {later}")
 
 
@@ -293,76 +306,79 @@
 
     Also check that all engines run the newest weights at the end.
     """
-    named = [change for change in journal.changes if change.what == "weights"]
-    daemon_by_request = {asked.request: asked.daemon for asked in journal.asked}
-    for change in named:
+    announcements = [change for change in journal.changes if change.what == "weights"]
+    daemon_by_request = {sent.request_id: sent.daemon for sent in journal.sent_requests}
+    for change in announcements:
         for run in journal.runs:
-            old = 0 < run.weights < change.version
-            daemon = daemon_by_request.get(run.request, "")
+            is_superseded = 0 < run.weights < change.version
+            daemon = daemon_by_request.get(run.request_id, "")
             if (
-                old
+                is_superseded
                 and _are_weights_due(journal.faults, change.at, run.at)
-                and _is_in_touch(journal.faults, daemon, run)
+                and _is_in_contact(journal.faults, daemon, run)
             ):
                 detail = (
                     f"{run.at - change.at:.2f} s after, by {daemon}, {run}, {change}"
                 )
-                yield Violation("newest weights", run.request, detail)
-    newest = max((change.version for change in named), default=1)
+                yield Violation("newest weights", run.request_id, detail)
+    newest = max((change.version for change in announcements), default=1)
     for engine, version in journal.final_weights_by_engine.items():
         if version < newest:
             detail = f"{engine} ends with {version}, {newest} was announced"
             yield Violation("all engines follow", "", detail)
 
 
-def _are_weights_due(faults, named_at, until):
+def _are_weights_due(faults, announced_at, until):
     """Return whether engines must run a weight version announced at a given time.
 
     The time that they have for it counts only while the store is stable and no link
     is disturbed. Failures of daemons and targets don't stop it.
     """
-    lengths = []
-    since = named_at
+    spans = []
+    since = announced_at
     for fault in sorted(faults, key=lambda fault: fault.began):
-        if not _harms_store_or_link(fault):
+        if not _affects_store_or_link(fault):
             continue
-        lengths.append(min(fault.began, until) - since)
-        # The store counts as stable again _CONTACT seconds after its fault has ended,
+        spans.append(min(fault.began, until) - since)
+        # The store counts as stable again _CONTACT_SECONDS after its fault has ended,
         # a link at once.
         is_of_store = fault.area is _Area.STORE and not fault.subject
-        settles = _CONTACT if is_of_store else 0.0
-        since = max(since, fault.ended + settles)
-    lengths.append(until - since)
-    in_all = sum(length for length in lengths if length >= _WEIGHTS_SPAN)
-    return max(lengths) > _WEIGHTS + _SLACK or in_all > _WEIGHTS_IN_ALL + _SLACK
+        settling_seconds = _CONTACT_SECONDS if is_of_store else 0.0
+        since = max(since, fault.ended + settling_seconds)
+    spans.append(until - since)
+    total = sum(span for span in spans if span >= _WEIGHTS_MIN_SPAN_SECONDS)
+    return (
+        max(spans) > _WEIGHTS_SECONDS + _CLOCK_SLACK_SECONDS
+        or total > _WEIGHTS_TOTAL_SECONDS + _CLOCK_SLACK_SECONDS
+    )
 
 
-def _harms_store_or_link(fault):
+def _affects_store_or_link(fault):
     return fault.area is _Area.STORE or (
         fault.area is _Area.TARGET and "link" in fault.what
     )
 
 
-def _is_in_touch(faults, daemon, run):
+def _is_in_contact(faults, daemon, run):
     """Return whether the daemon that sent a run was in contact with the store then.
 
-    It was if, for _CONTACT seconds before, its process ran, and the store and the
+    It was if, for _CONTACT_SECONDS before, its process ran, and the store and the
     daemon's links to the store and to the target worked. Failures of other daemons
     are no excuse.
     """
-    own = [
+    own_faults = [
         fault
         for fault in faults
         if fault.subject in ("", daemon)
         and fault.area in (_Area.DAEMON, _Area.STORE)
         and fault.what != "reload"
     ]
-    held_up = [
+    link_faults = [
         fault
         for fault in faults
-        if fault.subject == run.target and _harms_store_or_link(fault)
+        if fault.subject == run.target and _affects_store_or_link(fault)
     ]
-    return _calm(own + held_up, run.at, run.at)
+    return _is_undisturbed(own_faults + link_faults, run.at, run.at)
 
 
 def _check_salts(runs):
@@ -379,21 +395,21 @@
         owner = run.weights, run.account == "bank"
         if seen.setdefault(run.salt, owner) != owner:
             detail = f"salt {run.salt} of {seen[run.salt]} also of {owner}"
-            yield Violation("KV cache kept apart", run.request, detail)
+            yield Violation("KV cache kept apart", run.request_id, detail)
 
 
 def _check_recovery(journal):
-    """Check that all requests succeed again _RECOVER seconds after the last fault.
+    """Check that all requests succeed again _RECOVERY_SECONDS after the last fault.
 
     Targets fail some requests with status 500 at any time.
     """
-    for asked in journal.asked:
-        if asked.sent_at < journal.recovered_at + _RECOVER:
+    for sent in journal.sent_requests:
+        if sent.sent_at < journal.recovered_at + _RECOVERY_SECONDS:
             continue
-        if asked.kind is _Kind.PROBE and asked.status == 404:
+        if sent.kind is _Kind.PROBE and sent.status == 404:
             continue
-        if asked.status not in (200, 500):
-            yield _broken("recovers", asked, f"status {asked.status}")
+        if sent.status not in (200, 500):
+            yield _violation("recovers", sent, f"status {sent.status}")
 
 
 def _check_crashing(journal):
@@ -402,26 +418,26 @@
     for crash in journal.crashes:
         crashes_by_path[crash.path].append(crash.at)
     for path, times in crashes_by_path.items():
-        if len(times) < _CRASHES:
+        if len(times) < _CRASH_LIMIT:
             continue
-        known_at = sorted(times)[_CRASHES - 1] + _CONTACT
+        known_at = sorted(times)[_CRASH_LIMIT - 1] + _CONTACT_SECONDS
         late = [
             run
             for run in journal.runs
             if run.path == path
-            and run.at > known_at + _SLACK
-            and _is_in_touch(
-                journal.faults, journal.daemon_by_crashing[run.request], run
+            and run.at > known_at + _CLOCK_SLACK_SECONDS
+            and _is_in_contact(
+                journal.faults, journal.daemon_by_crash_attempt[run.request_id], run
             )
         ]
-        if len(late) > _MOST_RETRIES:
+        if len(late) > _MAX_LATE_RUNS:
             detail = (
                 f"{len(times)} crashes, late: {[run.at - known_at for run in late]}"
             )
             yield Violation("what crashes targets is stopped", path, detail)
 
 
-def _striking(journal, daemon):
+def _faults_affecting(journal, daemon):
     """Return the faults that can keep a daemon from learning of a change."""
     return [
         fault
@@ -430,12 +446,13 @@
     ]
 
 
-def _calm(faults, began, until):
-    """Return whether no fault was active from _CONTACT seconds before to the end."""
+def _is_undisturbed(faults, began, until):
+    """Return whether no fault was active from _CONTACT_SECONDS before to the end."""
     return not any(
-        fault.began < until and fault.ended > began - _CONTACT for fault in faults
+        fault.began < until and fault.ended > began - _CONTACT_SECONDS
+        for fault in faults
     )
 
 
-def _broken(promise, asked, detail):
-    return Violation(promise, asked.request, f"{asked.kind.value}: {detail}")
+def _violation(promise, sent, detail):
+    return Violation(promise, sent.request_id, f"{sent.kind.value}: {detail}")
--- a/tests/support/soak/faults.py
+++ b/tests/support/soak/faults.py
@@ -17,12 +17,12 @@
 
     Attributes
     ----------
-    pause : float
+    restart_delay : float
         Seconds from its exit to its new start, as in the other faults.
     """
 
-    number: signal.Signals
-    pause: float
+    signal_number: signal.Signals
+    restart_delay: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -33,23 +33,23 @@
     ----------
     count : int
         The number of daemons, over all data centres.
-    apart : float
+    interval : float
         Seconds from one daemon's SIGTERM to the next.
-    between : float
+    data_centre_interval : float
         Additional seconds before the first daemon of another data centre.
     """
 
     count: int
-    apart: float
-    between: float
-    pause: float
+    interval: float
+    data_centre_interval: float
+    restart_delay: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class EndAll:
+class KillAllDaemons:
     """All daemons are killed at once, as by a loss of power."""
 
-    pause: float
+    restart_delay: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -65,7 +65,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HarmLink:
+class DisturbLink:
     """A link is disturbed: that of a daemon to the store, or of all to a target.
 
     Attributes
@@ -88,7 +88,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HarmStore:
+class FailStore:
     """The store fails for all: one attribute of `standins.Store` is set for a while."""
 
     attribute: str
@@ -97,7 +97,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ForgetHistory:
+class DropHistory:
     """The store drops its history of changes, so that watches have to list again."""
 
 
@@ -141,7 +141,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class NameWeights:
+class AnnounceWeights:
     """A new weight version is announced."""
 
 
@@ -153,48 +153,52 @@
     makers = (
         lambda: EndDaemon(signal.SIGTERM, source.uniform(0, 1)),
         lambda: EndDaemon(signal.SIGKILL, source.uniform(0, 2)),
-        lambda: EndAll(source.uniform(0, 1.5)),
+        lambda: KillAllDaemons(source.uniform(0, 1.5)),
         lambda: PauseDaemon(seconds),
         ReloadDaemon,
-        lambda: HarmLink(area, source.choice(modes), 0.0, seconds),
-        lambda: HarmLink(area, proxy.Mode.PASS, source.uniform(0.01, 0.5), seconds),
+        lambda: DisturbLink(area, source.choice(modes), 0.0, seconds),
+        lambda: DisturbLink(area, proxy.Mode.PASS, source.uniform(0.01, 0.5), seconds),
         lambda: CutLink(area),
-        lambda: HarmStore("is_away", True, seconds),
-        lambda: HarmStore("loses_answers", True, seconds),
-        lambda: HarmStore("delay_seconds", source.uniform(0.1, 0.6), seconds),
-        lambda: HarmStore("speaks_nonsense", True, seconds / 2),
-        lambda: HarmStore("is_stale", True, 2 * seconds),
-        ForgetHistory,
+        lambda: FailStore("is_away", True, seconds),
+        lambda: FailStore("loses_answers", True, seconds),
+        lambda: FailStore("delay_seconds", source.uniform(0.1, 0.6), seconds),
+        lambda: FailStore("speaks_nonsense", True, seconds / 2),
+        lambda: FailStore("is_stale", True, 2 * seconds),
+        DropHistory,
         lambda: CrashTarget(source.uniform(0.5, 3)),
         lambda: LoseAnswers(source.uniform(0.02, 0.3), seconds),
         lambda: AnswerTwice(seconds),
-        *_plan(source),
+        *_planned_makers(source),
     )
     return source.choice(makers)()
 
 
 def draw_planned(source):
     """Return a drawn planned change, which callers must not notice."""
-    return source.choice(_plan(source))()
+    return source.choice(_planned_makers(source))()
 
 
-def draw_after_naming(source):
+def draw_after_announcement(source):
     """Return a drawn fault that makes daemons miss the announcement of a version."""
     makers = (
-        lambda: EndAll(source.uniform(0.5, 5)),
+        lambda: KillAllDaemons(source.uniform(0.5, 5)),
         lambda: PauseDaemon(source.uniform(3, 8)),
         lambda: StopInTurn(4, source.uniform(0, 1.5), source.uniform(0, 4), 0.5),
     )
     return source.choice(makers)()
 
 
-def _plan(source):
+def _planned_makers(source):
     def stop_in_turn():
-        apart, pause = source.uniform(0, 1.5), source.uniform(0, 1)
+        interval, restart_delay = source.uniform(0, 1.5), source.uniform(0, 1)
         # The next data centre stops either while the daemons of the first one leave or
         # after they are back.
-        between = source.choice((source.uniform(0, 4), source.uniform(10, 16)))
-        return StopInTurn(source.randint(2, 4), apart, between, pause)
+        data_centre_interval = source.choice(
+            (source.uniform(0, 4), source.uniform(10, 16))
+        )
+        return StopInTurn(
+            source.randint(2, 4), interval, data_centre_interval, restart_delay
+        )
 
     return (
         stop_in_turn,
@@ -202,83 +206,85 @@
         DrainTarget,
         ChangeConfiguration,
         ChangeConfiguration,
-        NameWeights,
+        AnnounceWeights,
         lambda: EndDaemon(signal.SIGTERM, source.uniform(0, 1)),
     )
 
 
-async def play(fault, world):
+async def inject(fault, world):
     """Inject a fault, and return after it has ended."""
     match fault:
         case EndDaemon():
-            await _end(world, _any_daemon(world), fault.number, fault.pause)
+            await _end(
+                world, _choose_daemon(world), fault.signal_number, fault.restart_delay
+            )
         case StopInTurn():
             await _stop_in_turn(fault, world)
-        case EndAll():
-            with _noted(world, "end all", _Area.DAEMON):
+        case KillAllDaemons():
+            with _recorded(world, "end all", _Area.DAEMON):
                 await asyncio.gather(
                     *(
-                        world.end_daemon(daemon, signal.SIGKILL, fault.pause)
+                        world.end_daemon(daemon, signal.SIGKILL, fault.restart_delay)
                         for daemon in world.daemon_by_name.values()
                     )
                 )
         case PauseDaemon():
-            await _pause(world, _any_daemon(world), fault.seconds)
+            await _pause(world, _choose_daemon(world), fault.seconds)
         case ReloadDaemon():
-            daemon = _any_daemon(world)
-            with _noted(world, "reload", _Area.DAEMON, daemon.name, planned=True):
+            daemon = _choose_daemon(world)
+            with _recorded(world, "reload", _Area.DAEMON, daemon.name, planned=True):
                 daemon.send_signal(signal.SIGHUP)
-        case HarmLink():
-            await _harm_link(fault, world)
+        case DisturbLink():
+            await _disturb_link(fault, world)
         case CutLink():
-            subject, link = _any_link(world, fault.area)
-            with _noted(world, "cut link", fault.area, subject):
+            subject, link = _choose_link(world, fault.area)
+            with _recorded(world, "cut link", fault.area, subject):
                 await link.apply({"cut": True})
-        case HarmStore():
-            await _harm_store(fault, world.store, world)
-        case ForgetHistory():
-            with _noted(world, "forget history", _Area.STORE):
+        case FailStore():
+            await _fail_store(fault, world.store, world)
+        case DropHistory():
+            with _recorded(world, "forget history", _Area.STORE):
                 world.store.forget_history()
         case _:
-            await _play_at_targets(fault, world)
+            await _inject_at_target(fault, world)
 
 
 async def _stop_in_turn(fault, world):
     daemons = list(world.daemon_by_name.values())
     world.random.shuffle(daemons)
-    first = daemons[0].data_centre
-    daemons.sort(key=lambda daemon: daemon.data_centre != first)
+    data_centre = daemons[0].data_centre
+    daemons.sort(key=lambda daemon: daemon.data_centre != data_centre)
     async with asyncio.TaskGroup() as stops:
         for daemon in daemons[: fault.count]:
-            if daemon.data_centre != first:
-                first = daemon.data_centre
-                await asyncio.sleep(fault.between)
-            stops.create_task(_end(world, daemon, signal.SIGTERM, fault.pause))
-            await asyncio.sleep(fault.apart)
+            if daemon.data_centre != data_centre:
+                data_centre = daemon.data_centre
+                await asyncio.sleep(fault.data_centre_interval)
+            stops.create_task(_end(world, daemon, signal.SIGTERM, fault.restart_delay))
+            await asyncio.sleep(fault.interval)
 
 
-async def _end(world, daemon, number, pause):
-    planned = number is signal.SIGTERM
-    with _noted(world, number.name, _Area.DAEMON, daemon.name, planned):
-        await world.end_daemon(daemon, number, pause)
+async def _end(world, daemon, signal_number, restart_delay):
+    planned = signal_number is signal.SIGTERM
+    with _recorded(world, signal_number.name, _Area.DAEMON, daemon.name, planned):
+        await world.end_daemon(daemon, signal_number, restart_delay)
 
 
-async def _play_at_targets(fault, world):
+async def _inject_at_target(fault, world):
     target = world.random.choice(list(world.target_by_name.values()))
     match fault:
         case CrashTarget():
-            with _noted(world, "crash", _Area.TARGET, target.name):
+            with _recorded(world, "crash", _Area.TARGET, target.name):
                 await world.crash_target(target, fault.seconds)
         case RestartTarget():
-            with _noted(world, "restart", _Area.TARGET, target.name):
+            with _recorded(world, "restart", _Area.TARGET, target.name):
                 await world.restart_target(target, fault.seconds)
         case LoseAnswers():
-            with _noted(world, "lose answers", _Area.TARGET, target.name):
+            with _recorded(world, "lose answers", _Area.TARGET, target.name):
                 target.answers_lost_share = fault.share
                 await asyncio.sleep(fault.seconds)
                 target.answers_lost_share = 0.0
         case AnswerTwice():
-            with _noted(world, "answer twice", _Area.TARGET, target.name):
+            with _recorded(world, "answer twice", _Area.TARGET, target.name):
                 answer = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nextra"
                 target.second_answer = answer
                 await asyncio.sleep(fault.seconds)
@@ -287,53 +293,53 @@
             await world.drain_target(target)
         case ChangeConfiguration():
             await world.change_configuration()
-        case NameWeights():
-            await world.name_weights(world.weights + 1)
+        case AnnounceWeights():
+            await world.announce_weights(world.weights + 1)
 
 
 async def _pause(world, daemon, seconds):
-    with _noted(world, "pause", _Area.DAEMON, daemon.name):
+    with _recorded(world, "pause", _Area.DAEMON, daemon.name):
         daemon.send_signal(signal.SIGSTOP)
         await asyncio.sleep(seconds)
         daemon.send_signal(signal.SIGCONT)
 
 
-async def _harm_store(fault, store, world):
+async def _fail_store(fault, store, world):
     """Set an attribute of the store for a while, unless it is already set.
 
     Guards against two overlapping faults of one kind: each would restore the value
     that it found, so that the second would leave the store failing for good. The
     guard holds because a fault that finds the attribute set does nothing.
     """
-    usual = getattr(store, fault.attribute)
-    if usual:
+    normal = getattr(store, fault.attribute)
+    if normal:
         return
-    with _noted(world, fault.attribute, _Area.STORE):
+    with _recorded(world, fault.attribute, _Area.STORE):
         setattr(store, fault.attribute, fault.value)
         await asyncio.sleep(fault.seconds)
-        setattr(store, fault.attribute, usual)
+        setattr(store, fault.attribute, normal)
 
 
-async def _harm_link(fault, world):
-    subject, link = _any_link(world, fault.area)
+async def _disturb_link(fault, world):
+    subject, link = _choose_link(world, fault.area)
     what = f"link {fault.mode.value}, delay {fault.delay:.2f}"
-    with _noted(world, what, fault.area, subject):
+    with _recorded(world, what, fault.area, subject):
         await link.apply({"mode": fault.mode, "delay": fault.delay})
         await asyncio.sleep(fault.seconds)
         await link.apply({"mode": proxy.Mode.PASS, "delay": 0.0, "cut": True})
 
 
-def _any_daemon(world):
+def _choose_daemon(world):
     return world.random.choice(list(world.daemon_by_name.values()))
 
 
-def _any_link(world, area):
+def _choose_link(world, area):
     links = world.link_by_daemon if area is _Area.STORE else world.link_by_target
     return world.random.choice(list(links.items()))
 
 
 @contextlib.contextmanager
-def _noted(world, what, area, subject="", planned=False):
+def _recorded(world, what, area, subject="", planned=False):
     """Record a fault with the times at which the block begins and ends."""
     fault = records.Fault(what, area, subject, world.now(), planned=planned)
     world.journal.faults.append(fault)
--- a/tests/support/soak/records.py
+++ b/tests/support/soak/records.py
@@ -34,7 +34,7 @@
         The cache salt that the target received.
     """
 
-    request: str
+    request_id: str
     target: str
     service: str
     path: str
@@ -49,7 +49,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Asked:
+class SentRequest:
     """A caller's request and its result.
 
     Attributes
@@ -60,16 +60,16 @@
         The part of the body that arrived.
     stamp : str or None
         The name of the target that answered, as the answer's ``X-Server-Stamp``.
-    life : int
+    incarnation : int
         The number of the daemon's incarnation that it was sent to, from 1.
     version : int
         For a PROBE, the version of the configuration that has its route; else 0.
     """
 
-    request: str
+    request_id: str
     kind: Kind
     daemon: str
-    life: int
+    incarnation: int
     path: str
     account: str
     deadline_ms: int
@@ -82,7 +82,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Told:
+class DirectoryAnswer:
     """A caller asked a daemon's directory, which named these daemons."""
 
     daemon: str
@@ -177,15 +177,15 @@
 class Journal:
     """All records of one soak."""
 
-    asked: list[Asked] = dataclasses.field(default_factory=list)
+    sent_requests: list[SentRequest] = dataclasses.field(default_factory=list)
     runs: list[Run] = dataclasses.field(default_factory=list)
-    told: list[Told] = dataclasses.field(default_factory=list)
+    directory_answers: list[DirectoryAnswer] = dataclasses.field(default_factory=list)
     orders: list[Order] = dataclasses.field(default_factory=list)
     faults: list[Fault] = dataclasses.field(default_factory=list)
     changes: list[Change] = dataclasses.field(default_factory=list)
     crashes: list[Crash] = dataclasses.field(default_factory=list)
     # The daemon that each attempt to crash an engine was sent to, by the attempt's id.
-    daemon_by_crashing: dict[str, str] = dataclasses.field(default_factory=dict)
+    daemon_by_crash_attempt: dict[str, str] = dataclasses.field(default_factory=dict)
     # Daemons that exited though the soak had sent no signal, with their exit codes.
     exits: list[tuple[str, int]] = dataclasses.field(default_factory=list)
     # The weight version of each engine listed at the end, by the engine's name.
--- a/tests/support/soak/targets.py
+++ b/tests/support/soak/targets.py
@@ -25,30 +25,30 @@
 CRASHING = b"crashes engines"
 
 
-def event_count(request):
+def event_count(request_id):
     """Return the number of events in the answer to a request."""
-    if _is_long(request):
+    if _is_long(request_id):
         return _LONG_EVENTS
-    return _FEWEST_EVENTS + sum(request.encode()) % _EVENT_CHOICES
+    return _FEWEST_EVENTS + sum(request_id.encode()) % _EVENT_CHOICES
 
 
-def event_seconds(request):
+def event_seconds(request_id):
     """Return the seconds that each event of the answer to a request takes."""
-    return _LONG_EVENT_SECONDS if _is_long(request) else _EVENT_SECONDS
+    return _LONG_EVENT_SECONDS if _is_long(request_id) else _EVENT_SECONDS
 
 
-def _is_long(request):
-    return zlib.crc32(request.encode()) % _LONG_ONE_IN == 0
+def _is_long(request_id):
+    return zlib.crc32(request_id.encode()) % _LONG_ONE_IN == 0
 
 
-def event(request, number):
+def event(request_id, number):
     """Return one event of the answer to a request."""
-    return f"id: {number}\ndata: {request}/{number}\n\n".encode()
+    return f"id: {number}\ndata: {request_id}/{number}\n\n".encode()
 
 
-def plain_answer(target, request):
+def plain_answer(target, request_id):
     """Return the body of a plain service's answer."""
-    return f"{target} ran {request}".encode()
+    return f"{target} ran {request_id}".encode()
 
 
 class Target(standins.Target):
@@ -69,7 +69,7 @@
         The share of orders that get no answer and are carried out later.
     order_source : random.Random
         Decides which orders these are, and when they are carried out.
-    crashed_by : callable
+    on_crashing_request : callable
         Called with the target and the request's path when a request crashes it.
     orders_taken : int
         The number of orders carried out in this incarnation, the ``Seq`` of its
@@ -89,7 +89,7 @@
         self._now = now
         self._random = source
         self.order_source = source
-        self.crashed_by = None
+        self.on_crashing_request = None
 
     def entry(self, state="ready"):
         """Return the record under which the target is listed."""
@@ -123,7 +123,7 @@
         models = [{"Name": "m", "Version": self.weights}]
         value = {
             "Models": models,
-            "Busy": self._loads(),
+            "Busy": self._is_loading(),
             "Seq": self.orders_taken,
             "born": self.born,
         }
@@ -135,7 +135,7 @@
         self.orders_taken = 0
         self._loading_until = 0.0
 
-    def _loads(self):
+    def _is_loading(self):
         return self._now() < self._loading_until
 
     async def _answer_order(self, order, headers, writer):
@@ -146,21 +146,24 @@
         delay = 0.0
         if self.order_source.random() < self.late_orders_share:
             delay = self.order_source.uniform(*_ORDER_DELAY_SECONDS)
-        given_by = order["Holder"], order["Fence"]
-        made = records.Order(self.name, self._now(), *given_by, delay)
-        self._journal.orders.append(made)
+        lease = order["Holder"], order["Fence"]
+        record = records.Order(self.name, self._now(), *lease, delay)
+        self._journal.orders.append(record)
         if not delay:
-            status = self._take_order(order)
+            status = self._carry_out_order(order)
             writer.write(standins.make_answer(status, headers, {}))
             return
         born = self.born
         await asyncio.sleep(delay)
         if self.born == born:
-            self._take_order(order)
+            self._carry_out_order(order)
         writer.transport.abort()
 
-    def _take_order(self, order):
-        if self._loads() or order.get("Expect", self.orders_taken) != self.orders_taken:
+    def _carry_out_order(self, order):
+        if (
+            self._is_loading()
+            or order.get("Expect", self.orders_taken) != self.orders_taken
+        ):
             return 409
         if order["Version"] <= self.weights:
             return 200
@@ -187,22 +190,22 @@
         )
 
     async def _run_plain(self, headers, writer):
-        fails = self._random.random() < self.failing_share
-        status = 500 if fails else 200
+        is_failing = self._random.random() < self.failing_share
+        status = 500 if is_failing else 200
         self._record(headers, status)
         await asyncio.sleep(_WORK_SECONDS)
         if self._random.random() < self.answers_lost_share:
             writer.transport.abort()
             return
-        request = headers["x-attempt-id"]
-        body = b"failed" if fails else plain_answer(self.name, request)
+        request_id = headers["x-attempt-id"]
+        body = b"failed" if is_failing else plain_answer(self.name, request_id)
         stamp = {"X-Server-Stamp": self.name}
         answer = standins.make_answer(status, headers, stamp, body)
         writer.write(answer + self.second_answer)
 
     async def _run_prompt(self, headers, writer):
         expected = headers.get("x-expect-version")
-        if self._loads():
+        if self._is_loading():
             writer.write(
                 standins.make_answer(503, headers, {"X-Not-Executed": "loading"})
             )
@@ -220,22 +223,22 @@
             salt=headers.get("x-cache-salt", ""),
         )
         if self.body == CRASHING:
-            self.crashed_by(self, headers[":path"])
+            self.on_crashing_request(self, headers[":path"])
             return
         with contextlib.suppress(ConnectionError):
             await self._stream_events(headers, writer, first)
 
     async def _stream_events(self, headers, writer, first):
-        request = headers["x-attempt-id"]
+        request_id = headers["x-attempt-id"]
         writer.write(
             b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
             b"X-Server-Stamp: " + self.name.encode() + b"\r\n"
             b"X-Weight-Versions: %d\r\nTransfer-Encoding: chunked\r\n"
-            b"X-Attempt-Id: %s\r\n\r\n" % (self.weights, request.encode())
+            b"X-Attempt-Id: %s\r\n\r\n" % (self.weights, request_id.encode())
         )
-        for number in range(first, event_count(request) + 1):
-            await asyncio.sleep(event_seconds(request))
-            text = event(request, number)
+        for number in range(first, event_count(request_id) + 1):
+            await asyncio.sleep(event_seconds(request_id))
+            text = event(request_id, number)
             if self._random.random() < self.answers_lost_share:
                 # The connection breaks in the middle of an event. The daemon must not
                 # pass the incomplete event on.
--- a/tests/support/soak/world.py
+++ b/tests/support/soak/world.py
@@ -17,9 +17,9 @@
 DATA_CENTRES = ("dc-1", "dc-2")
 # For how many seconds a leaving target stays listed, and for how many more it serves
 # after its removal from the list. Each is longer than daemons may still send to it.
-_SERVES_ON_SECONDS = 4.0
+_LEAVING_SECONDS = 4.0
 # The bounds of the time after which an engine that a request crashed is replaced.
-_BACK_AFTER_SECONDS = (0.5, 2.0)
+_REPLACED_AFTER_SECONDS = (0.5, 2.0)
 
 
 class World:
@@ -38,21 +38,21 @@
         self.random = random.Random(seed)
         self._seed = seed
         self.daemon_by_name = {}
-        self.life_by_daemon = {}
+        self.incarnation_by_daemon = {}
         self.target_by_name = {}
         self.link_by_daemon = {}
         self.link_by_target = {}
         # Each API key with its account. The account "bank" is isolated: its KV cache is
         # never shared with other accounts.
         self.keys = (("key-of-acme", "acme"), ("key-of-bank", "bank"))
-        self._daemons = daemons
-        self._expected_ends = set()
-        self._crashing = set()
+        self._daemon_count = daemons
+        self._ending = set()
+        self._crash_tasks = set()
         self._crash_source = random.Random(f"crashes {seed}")
         self.weights = 1
         self._late_orders_share = 0.0
-        self._versions = [1]
-        self._names = 0
+        self._configuration_versions = [1]
+        self._target_count = 0
         self._start = time.monotonic()
         self._prefix = f"127.{os.getpid() >> 8 & 127}.{os.getpid() & 255}"
         self._stack = contextlib.AsyncExitStack()
@@ -63,8 +63,8 @@
         return time.monotonic() - self._start
 
     async def __aenter__(self):
-        enter = self._stack.enter_async_context
-        self.store = await enter(
+        enter_context = self._stack.enter_async_context
+        self.store = await enter_context(
             standins.Store(f"127.0.0.1:{standins.free_ports(1)[0]}")
         )
         await self._put_configuration()
@@ -72,9 +72,9 @@
         for service in (_PLAIN, _PLAIN, _ENGINE, _ENGINE, _ENGINE):
             await self.add_target(service)
         ports = standins.free_ports(_PORTS)
-        ips = [f"{self._prefix}.{number + 1}" for number in range(self._daemons)]
+        ips = [f"{self._prefix}.{number + 1}" for number in range(self._daemon_count)]
         for number, ip in enumerate(ips, start=1):
-            link = await enter(_link_to(self.store.address))
+            link = await enter_context(_link_to(self.store.address))
             name = f"entry-{number}"
             # The data centres alternate, so that each has half of the daemons.
             own_first = DATA_CENTRES if number % 2 else DATA_CENTRES[::-1]
@@ -82,8 +82,8 @@
                 name, ip, ports, link.address, ips[:3], data_centres=own_first
             )
             self.link_by_daemon[name] = link
-            self.daemon_by_name[name] = await enter(daemon)
-            self.life_by_daemon[name] = 1
+            self.daemon_by_name[name] = await enter_context(daemon)
+            self.incarnation_by_daemon[name] = 1
         return self
 
     async def __aexit__(self, *exc_info):
@@ -100,18 +100,20 @@
 
     def recent_versions(self):
         """Return the three newest versions of the configuration, oldest first."""
-        return self._versions[-3:]
+        return self._configuration_versions[-3:]
 
     async def change_configuration(self):
         """Write a configuration whose probe route is that of a new version."""
-        self._versions.append(self._versions[-1] + self.random.choice((1, 2, 5)))
+        self._configuration_versions.append(
+            self._configuration_versions[-1] + self.random.choice((1, 2, 5))
+        )
         await self._put_configuration()
-        self._note_change("configuration", version=self._versions[-1])
+        self._record_change("configuration", version=self._configuration_versions[-1])
 
     async def _put_configuration(self):
-        version = self._versions[-1]
-        made = standins.make_manifest(version)
-        probe = made["Routes"][1] | {
+        version = self._configuration_versions[-1]
+        manifest = standins.make_manifest(version)
+        probe = manifest["Routes"][1] | {
             "Name": f"probe-{version}",
             "PathPrefix": f"/probe-{version}/",
         }
@@ -119,16 +121,16 @@
             {"Name": account, "ApiKeys": [key], "Isolated": account == "bank"}
             for key, account in self.keys
         ]
-        made |= {"Routes": [*made["Routes"], probe], "Tenants": accounts}
-        await self.store.put("config", "main", made)
+        manifest |= {"Routes": [*manifest["Routes"], probe], "Tenants": accounts}
+        await self.store.put("config", "main", manifest)
 
-    async def name_weights(self, version):
+    async def announce_weights(self, version):
         """Announce a new weight version of the only model."""
         self.weights = version
         await self.store.put("versions", "m", {"Model": "m", "Version": version})
-        self._note_change("weights", version=version)
+        self._record_change("weights", version=version)
 
-    def _note_change(self, what, **more):
+    def _record_change(self, what, **more):
         self.journal.changes.append(records.Change(what, self.now(), **more))
 
     # Targets.
@@ -143,28 +145,28 @@
         weights : int, optional
             The weight version that it starts with; by default the newest one.
         """
-        self._names += 1
-        name = f"{service}-{self._names}"
+        self._target_count += 1
+        name = f"{service}-{self._target_count}"
         address = f"127.0.0.1:{standins.free_ports(1)[0]}"
         if link is None:
             link = await self._stack.enter_async_context(_link_to(address))
         else:
             link.lead_to(*address.split(":"))
         source = random.Random(name)
-        made = targets.Target(
+        target = targets.Target(
             name, address, service, link.address, self.journal, self.now, source
         )
         # A new engine starts with the newest weights, a replacement with the weights of
         # the engine that crashed.
-        made.weights = weights or self.weights
-        made.late_orders_share = self._late_orders_share
-        made.order_source = random.Random(f"orders {self._seed} {name}")
-        made.crashed_by = self._crash_by_request
-        await self._stack.enter_async_context(made)
-        self.target_by_name[name] = made
+        target.weights = weights or self.weights
+        target.late_orders_share = self._late_orders_share
+        target.order_source = random.Random(f"orders {self._seed} {name}")
+        target.on_crashing_request = self._crash_by_request
+        await self._stack.enter_async_context(target)
+        self.target_by_name[name] = target
         self.link_by_target[name] = link
-        await self.store.put("servers", name, made.entry())
-        return made
+        await self.store.put("servers", name, target.entry())
+        return target
 
     async def crash_target(self, target, seconds):
         """Crash a target; after some seconds, another target has its address."""
@@ -181,11 +183,11 @@
 
     def _crash_by_request(self, target, path):
         """Crash a target whose process a request ends, so that its port refuses."""
-        task = asyncio.create_task(self._end_and_replace(target, path))
-        self._crashing.add(task)
-        task.add_done_callback(self._crashing.discard)
+        task = asyncio.create_task(self._crash_and_replace(target, path))
+        self._crash_tasks.add(task)
+        task.add_done_callback(self._crash_tasks.discard)
 
-    async def _end_and_replace(self, target, path):
+    async def _crash_and_replace(self, target, path):
         if target.name not in self.target_by_name:
             return
         self.journal.crashes.append(records.Crash(path, target.name, self.now()))
@@ -195,7 +197,7 @@
         self.journal.faults.append(fault)
         link = self.link_by_target[target.name]
         await link.apply({"mode": proxy.Mode.REFUSE, "cut": True})
-        seconds = self._crash_source.uniform(*_BACK_AFTER_SECONDS)
+        seconds = self._crash_source.uniform(*_REPLACED_AFTER_SECONDS)
         await self.crash_target(target, seconds)
         await link.apply({"mode": proxy.Mode.PASS})
         fault.ended = self.now()
@@ -218,10 +220,10 @@
         if self.target_by_name.pop(target.name, None) is None:
             return
         await self.store.put("servers", target.name, target.entry("draining"))
-        self._note_change("leaving", subject=target.name)
-        await asyncio.sleep(_SERVES_ON_SECONDS)
+        self._record_change("leaving", subject=target.name)
+        await asyncio.sleep(_LEAVING_SECONDS)
         await self.store.remove("servers", target.name)
-        await asyncio.sleep(_SERVES_ON_SECONDS)
+        await asyncio.sleep(_LEAVING_SECONDS)
         target.crash()
 
     def delay_orders(self, share):
@@ -240,37 +242,37 @@
 
     # Daemons.
 
-    async def end_daemon(self, daemon, number, pause):
+    async def end_daemon(self, daemon, signal_number, restart_delay):
         """Send a signal that ends a daemon, and start it again after it has exited.
 
         If an earlier call for the daemon isn't finished, only send the signal.
         """
-        if daemon.name in self._expected_ends:
-            daemon.send_signal(number)
+        if daemon.name in self._ending:
+            daemon.send_signal(signal_number)
             return
-        self._expected_ends.add(daemon.name)
-        daemon.send_signal(number)
+        self._ending.add(daemon.name)
+        daemon.send_signal(signal_number)
         await daemon.ended()
-        await asyncio.sleep(pause)
-        await self.restart(daemon)
-        self._expected_ends.discard(daemon.name)
+        await asyncio.sleep(restart_delay)
+        await self.restart_daemon(daemon)
+        self._ending.discard(daemon.name)
 
-    async def restart(self, daemon):
+    async def restart_daemon(self, daemon):
         """Start a daemon that has exited."""
-        self.life_by_daemon[daemon.name] += 1
+        self.incarnation_by_daemon[daemon.name] += 1
         await daemon.start()
 
-    async def watch_ends(self):
+    async def watch_exits(self):
         """Record and restart daemons that exit without a signal, until cancelled."""
         while True:
             for daemon in self.daemon_by_name.values():
-                if daemon.is_running or daemon.name in self._expected_ends:
+                if daemon.is_running or daemon.name in self._ending:
                     continue
                 self.journal.exits.append((daemon.name, await daemon.ended()))
-                await self.restart(daemon)
+                await self.restart_daemon(daemon)
             await asyncio.sleep(0.1)
 
-    def note_final_state(self):
+    def record_final_state(self):
         """Record the weight version of each engine."""
         self.journal.final_weights_by_engine = {
             engine.name: engine.weights for engine in self.engines()
