--- a/tests/soak/test_checker.py
+++ b/tests/soak/test_checker.py
@@ -56,16 +56,24 @@
     [
         ("at most once", {}, [_RUN, _RUN]),
         ("not run is true", {"status": 503, "stamp": None}, [_RUN]),
-        ("whole answer", {"body": b"desk-1 ran r2"}, [_RUN]),
-        ("whole answer", {"stamp": None}, [_RUN]),
-        ("whole answer", {}, []),
+        ("complete answer", {"body": b"desk-1 ran r2"}, [_RUN]),
+        ("complete answer", {"stamp": None}, [_RUN]),
+        ("complete answer", {}, []),
         ("failures are the target's", {"status": 502}, [_RUN]),
         ("proper requests are served", {"status": 404, "stamp": None}, []),
         ("the route's service", {}, [dataclasses.replace(_RUN, service="llm")]),
         ("path unchanged", {}, [dataclasses.replace(_RUN, path="/once/r2")]),
-        ("account for key", {}, [dataclasses.replace(_RUN, account="bank")]),
-        ("account for key", {}, [dataclasses.replace(_RUN, key="key-of-acme")]),
-        ("time that is left", {}, [dataclasses.replace(_RUN, deadline_ms=9000)]),
+        (
+            "account replaces the API key",
+            {},
+            [dataclasses.replace(_RUN, account="bank")],
+        ),
+        (
+            "account replaces the API key",
+            {},
+            [dataclasses.replace(_RUN, key="key-of-acme")],
+        ),
+        ("remaining deadline", {}, [dataclasses.replace(_RUN, deadline_ms=9000)]),
     ],
 )
 def test_a_broken_promise_to_a_caller_is_found(promise, changed, runs):
@@ -76,8 +84,8 @@
 @pytest.mark.parametrize(
     ("promise", "status", "body"),
     [
-        ("whole stream", 200, targets.event("r1", 1)),
-        ("whole stream", 200, _CHAT.body + targets.event("r1", 1)),
+        ("complete stream", 200, targets.event("r1", 1)),
+        ("complete stream", 200, _CHAT.body + targets.event("r1", 1)),
         ("events in order", None, targets.event("r1", 2)),
         ("events in order", None, targets.event("r2", 1)),
     ],
@@ -129,7 +137,7 @@
             3.02,
             4.7,
             True,
-            {"a stop cuts nothing off", "what is taken late is finished"},
+            {"a stop cuts nothing off", "requests accepted late are completed"},
         ),
         # Sent before callers could know, and still running in the last sixth of the
         # grace time.
@@ -157,7 +165,7 @@
     )
     run = dataclasses.replace(_RUN, at=22.15)
     promises = _promises(sent_requests=[late], runs=[run], faults=[_STOP])
-    assert promises == {"what is taken late is finished"}
+    assert promises == {"requests accepted late are completed"}
     in_time = dataclasses.replace(late, sent_at=21.9)
     assert _promises(sent_requests=[in_time], runs=[run], faults=[_STOP]) == set()
     refused = dataclasses.replace(late, status=503)
@@ -166,7 +174,7 @@
 
 def test_a_directory_that_names_a_daemon_which_leaves_is_found():
     """A directory names a leaving daemon although one that stays is available."""
-    promise = {"directories name who stays"}
+    promise = {"directories omit leaving daemons"}
     answer = records.DirectoryAnswer("entry-1", 21.1, ("entry-1", "entry-2"))
     stays = records.DirectoryAnswer("entry-2", 1.0, ("entry-1", "entry-2"))
     assert _promises(directory_answers=[answer, stays], faults=[_STOP]) == promise
@@ -212,11 +220,11 @@
         # The daemon that answers leaves too, so that only the other one could stay.
         own = dataclasses.replace(stop, subject="entry-3")
         promises = _promises(directory_answers=[answer, stays], faults=[*faults, own])
-    assert ("directories name who stays" in promises) == is_found
+    assert ("directories omit leaving daemons" in promises) == is_found
 
 
 def test_an_old_configuration_is_found_after_its_time():
-    promise = "configuration in force"
+    promise = "active configuration"
     dropped = records.Change("configuration", 17.0, version=5)
     assert promise in _promises(
         sent_requests=[_PROBE], runs=[_PROBE_RUN], changes=[dropped]
@@ -232,22 +240,22 @@
 def test_a_daemon_that_goes_back_to_an_older_configuration_is_found():
     newer = dataclasses.replace(_PROBE, request_id="r0", version=5, ended_at=10.0)
     promises = _promises(sent_requests=[newer, _PROBE], runs=[_PROBE_RUN])
-    assert "configuration never back" in promises
+    assert "no return to an older configuration" in promises
     restarted = dataclasses.replace(_PROBE, incarnation=2)
     promises = _promises(sent_requests=[newer, restarted], runs=[_PROBE_RUN])
-    assert "configuration never back" not in promises
+    assert "no return to an older configuration" not in promises
 
 
 def test_work_for_a_target_that_left_is_found():
     left = records.Change("leaving", 17.0, subject="desk-1")
-    assert "leaving targets" in _promises(runs=[_RUN], changes=[left])
+    assert "no requests to leaving targets" in _promises(runs=[_RUN], changes=[left])
 
 
 @pytest.mark.parametrize(
     ("promise", "later"),
     [
-        ("one holder", records.Order("llm-2", 22.0, "entry-2", 8)),
-        ("one holder", records.Order("llm-2", 30.0, "entry-2", 7)),
+        ("one leaseholder", records.Order("llm-2", 22.0, "entry-2", 8)),
+        ("one leaseholder", records.Order("llm-2", 30.0, "entry-2", 7)),
         ("epochs rise", records.Order("llm-1", 30.0, "entry-2", 6)),
     ],
 )
@@ -263,7 +271,7 @@
     promises = _promises(runs=[_CHAT_RUN], changes=[named])
     assert promises == {"newest weights"}
     promises = _promises(changes=[named], final_weights_by_engine={"llm-1": 1})
-    assert promises == {"all engines follow"}
+    assert promises == {"all engines load the newest weights"}
 
 
 def _is_late_run_found(*faults):
@@ -365,13 +373,15 @@
 def test_kv_cache_that_is_shared_wrongly_is_found():
     for changed in ({"weights": 2}, {"account": "bank"}):
         other = dataclasses.replace(_CHAT_RUN, request_id="r2", **changed)
-        assert _promises(runs=[_CHAT_RUN, other]) == {"KV cache kept apart"}
+        assert _promises(runs=[_CHAT_RUN, other]) == {"KV cache is isolated"}
 
 
 def test_what_does_not_recover_and_what_ends_by_itself_is_found():
     refused = dataclasses.replace(_SENT, status=503, stamp=None)
-    assert "recovers" in _promises(sent_requests=[refused], recovered_at=5.0)
-    assert _promises(exits=[("entry-1", 1)]) == {"the daemon stays up"}
+    assert "recovery after faults" in _promises(
+        sent_requests=[refused], recovered_at=5.0
+    )
+    assert _promises(exits=[("entry-1", 1)]) == {"daemons keep running"}
 
 
 def _find_crashing(late_runs, *faults):
@@ -389,7 +399,7 @@
 
 
 def test_a_request_that_goes_on_crashing_targets_is_found():
-    assert _find_crashing(4) == {"what crashes targets is stopped"}
+    assert _find_crashing(4) == {"requests that crash targets are stopped"}
     assert _find_crashing(3) == set()
 
 
@@ -397,4 +407,4 @@
     paused = records.Fault("pause", records.Area.DAEMON, "entry-1", 13.0, 15.9)
     elsewhere = records.Fault("pause", records.Area.DAEMON, "entry-2", 13.0, 15.9)
     assert _find_crashing(4, paused) == set()
-    assert _find_crashing(4, elsewhere) == {"what crashes targets is stopped"}
+    assert _find_crashing(4, elsewhere) == {"requests that crash targets are stopped"}
--- a/tests/support/soak/checker.py
+++ b/tests/support/soak/checker.py
@@ -89,7 +89,7 @@
     violations += _check_recovery(journal)
     violations += _check_crashing(journal)
     violations += [
-        Violation("the daemon stays up", "", f"{daemon} exited by itself with {code}")
+        Violation("daemons keep running", "", f"{daemon} exited by itself with {code}")
         for daemon, code in journal.exits
     ]
     return violations
@@ -109,14 +109,14 @@
             yield _violation("failures are the target's", sent, f"{sent.status}")
         return
     if sent.stamp not in {run.target for run in runs}:
-        yield _violation("whole answer", sent, f"stamp {sent.stamp}, runs {runs}")
+        yield _violation("complete answer", sent, f"stamp {sent.stamp}, runs {runs}")
     elif sent.kind is not _Kind.CHAT:
         if sent.body != targets.plain_answer(sent.stamp, sent.request_id):
-            yield _violation("whole answer", sent, repr(sent.body))
+            yield _violation("complete answer", sent, repr(sent.body))
     else:
         count = targets.event_count(sent.request_id)
         if sent.body != _events(sent.request_id, count):
-            yield _violation("whole stream", sent, repr(sent.body))
+            yield _violation("complete stream", sent, repr(sent.body))
 
 
 def _events(request_id, count):
@@ -154,10 +154,12 @@
         if run.path != sent.path:
             yield _violation("path unchanged", sent, run.path)
         if run.account != sent.account or run.key is not None:
-            yield _violation("account for key", sent, f"{run.account}, {run.key}")
+            yield _violation(
+                "account replaces the API key", sent, f"{run.account}, {run.key}"
+            )
         limit = sent.deadline_ms + _DEADLINE_SLACK_MS
         if run.deadline_ms is None or run.deadline_ms > limit:
-            yield _violation("time that is left", sent, f"{run.deadline_ms} ms")
+            yield _violation("remaining deadline", sent, f"{run.deadline_ms} ms")
 
 
 def _check_graceful_stop(sent, runs, journal):
@@ -182,7 +184,7 @@
     late = sigterm_times and sent.sent_at > sigterm_times[0] + _UNAWARE_CALLERS_SECONDS
     if late and runs and sent.status not in {run.status for run in runs}:
         detail = f"{sent.status}, sent {sent.sent_at - sigterm_times[0]:.2f} s after"
-        yield _violation("what is taken late is finished", sent, detail)
+        yield _violation("requests accepted late are completed", sent, detail)
 
 
 def _may_outlast(sent, runs, stopped_at):
@@ -230,7 +232,7 @@
             and _is_undisturbed(unplanned, since, answer.asked_at)
         ):
             detail = f"{answer} names {wrongly_named}, though {available} are available"
-            yield Violation("directories name who stays", "", detail)
+            yield Violation("directories omit leaving daemons", "", detail)
 
 
 def _check_configuration(sent, journal):
@@ -251,11 +253,11 @@
         return
     if sent.version < newest.version and sent.status == 200:
         detail = f"{sent.daemon} serves {sent.version}, {newest.version} is active"
-        yield _violation("configuration in force", sent, detail)
+        yield _violation("active configuration", sent, detail)
     last = max(changes, key=lambda change: change.version)
     if sent.version == newest.version == last.version and sent.status == 404:
         detail = f"{sent.daemon} does not know {sent.version}"
-        yield _violation("configuration in force", sent, detail)
+        yield _violation("active configuration", sent, detail)
 
 
 def _check_rollback(journal):
@@ -272,7 +274,7 @@
             )
             if newer.version > older.version and later:
                 detail = f"{older.version} after {newer.version} at {older.daemon}"
-                yield _violation("configuration never back", older, detail)
+                yield _violation("no return to an older configuration", older, detail)
 
 
 def _check_leaving(journal):
@@ -286,7 +288,9 @@
                 continue
             if _is_undisturbed(journal.faults, change.at, run.at):
                 detail = f"{run.target}, leaving for {run.at - change.at:.2f} s"
-                yield Violation("leaving targets", run.request_id, detail)
+                yield Violation(
+                    "no requests to leaving targets", run.request_id, detail
+                )
 
 
 def _check_holders(orders):
@@ -298,7 +302,7 @@
         if later.holder == earlier.holder:
             continue
         if later.epoch == earlier.epoch or later.at - earlier.at < _LEASE_SECONDS:
-            yield Violation("one holder", "", f"{earlier}, then {later}")
+            yield Violation("one leaseholder", "", f"{earlier}, then {later}")
 
 
 def _check_weights(journal):
@@ -325,7 +329,7 @@
     for engine, version in journal.final_weights_by_engine.items():
         if version < newest:
             detail = f"{engine} ends with {version}, {newest} was announced"
-            yield Violation("all engines follow", "", detail)
+            yield Violation("all engines load the newest weights", "", detail)
 
 
 def _are_weights_due(faults, announced_at, until):
@@ -395,7 +399,7 @@
         owner = run.weights, run.account == "bank"
         if seen.setdefault(run.salt, owner) != owner:
             detail = f"salt {run.salt} of {seen[run.salt]} also of {owner}"
-            yield Violation("KV cache kept apart", run.request_id, detail)
+            yield Violation("KV cache is isolated", run.request_id, detail)
 
 
 def _check_recovery(journal):
@@ -409,7 +413,7 @@
         if sent.kind is _Kind.PROBE and sent.status == 404:
             continue
         if sent.status not in (200, 500):
-            yield _violation("recovers", sent, f"status {sent.status}")
+            yield _violation("recovery after faults", sent, f"status {sent.status}")
 
 
 def _check_crashing(journal):
@@ -434,7 +438,7 @@
             detail = (
                 f"{len(times)} crashes, late: {[run.at - known_at for run in late]}"
             )
-            yield Violation("what crashes targets is stopped", path, detail)
+            yield Violation("requests that crash targets are stopped", path, detail)
 
 
 def _faults_affecting(journal, daemon):
