--- a/tests/support/relays.py
+++ b/tests/support/relays.py
@@ -18,7 +18,7 @@
 
 # Commands that need the platform's store or peers. This relay has neither, so it
 # ignores them.
-_LEFT_OUT = (
+_IGNORED_COMMANDS = (
     gateway.BecameReady,
     kvstores.FollowStores,
     lease.ReadLease,
@@ -31,7 +31,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Served:
+class RunningRelay:
     """A running relay.
 
     Attributes
@@ -55,19 +55,21 @@
 
 @contextlib.asynccontextmanager
 async def serve(core, clock):
-    """Run a relay with a gateway's decision logic, and yield it as a `Served`."""
+    """Run a relay with a gateway's decision logic, and yield it as a `RunningRelay`."""
     log = eventlog.EventLog("entry-1", eventlog.HybridClock(clock), 1)
-    driving = driver.Driver(core, clock, log)
-    for kind in _LEFT_OUT:
-        driving.on(kind, lambda command: None)
-    async with connections.make_session() as session, lifeprobe.LifeProbe(driving):
-        made = relay.Relay(driving, dialect.Dialect(), session, measures.Measures())
-        server = aiohttp.web.Server(made.handle, handler_cancellation=True)
+    relay_driver = driver.Driver(core, clock, log)
+    for kind in _IGNORED_COMMANDS:
+        relay_driver.on(kind, lambda command: None)
+    async with connections.make_session() as session, lifeprobe.LifeProbe(relay_driver):
+        served_relay = relay.Relay(
+            relay_driver, dialect.Dialect(), session, measures.Measures()
+        )
+        server = aiohttp.web.Server(served_relay.handle, handler_cancellation=True)
         runner = aiohttp.web.ServerRunner(server, shutdown_timeout=0.1)
         await runner.setup()
         await aiohttp.web.TCPSite(runner, "127.0.0.1", 0).start()
         host, port = runner.addresses[0]
         try:
-            yield Served(made, driving, f"{host}:{port}")
+            yield RunningRelay(served_relay, relay_driver, f"{host}:{port}")
         finally:
             await runner.cleanup()
--- a/tests/support/soak/checker.py
+++ b/tests/support/soak/checker.py
@@ -49,7 +49,7 @@
 # busy machine.
 _CLOCK_SLACK_SECONDS = 0.5
 # A request that was cut off sooner than this after it was sent, in seconds, may have
-# been in transit as the daemon closed its idle connection.
+# been in transit as the daemon closed the connection.
 _IN_TRANSIT_SECONDS = 0.2
 # Status codes which promise that no target has run the request.
 _NOT_RUN = frozenset((408, 421, 429, 503))
--- a/tests/support/standins.py
+++ b/tests/support/standins.py
@@ -106,7 +106,7 @@
         self._changes.clear()
         self.history_from = self._revision
 
-    async def _check(self, request):
+    async def _delay_or_fail(self, request):
         await asyncio.sleep(self.delay_seconds)
         if self.is_away or request.remote in self.turned_away:
             if request.transport is not None:
@@ -116,25 +116,27 @@
             raise aiohttp.web.HTTPOk(text='{"items": 7, "Events": [{}]}')
 
     async def _serve_kind(self, request):
-        await self._check(request)
+        await self._delay_or_fail(request)
         kind = request.match_info["kind"]
         if request.method == "POST":
             body = await request.json()
             name = body["Metadata"]["Name"]
             if (kind, name) in self._objects:
                 return _json(self._objects[kind, name], 409)
-            made = await self._change(kind, name, body["Spec"], False)
-            self._lose_answer(request)
-            return _json(made, 201)
+            created = await self._change(kind, name, body["Spec"], False)
+            self._abort_if_losing_answers(request)
+            return _json(created, 201)
         if "Watch" in request.query:
             return await self._watch(request, kind)
-        shown = self._objects
+        objects = self._objects
         if self.is_stale and kind == "config":
-            shown = self._objects_before
-        items = [item for (at, _), item in shown.items() if at == kind]
+            objects = self._objects_before
+        items = [
+            item for (object_kind, _), item in objects.items() if object_kind == kind
+        ]
         return _json({"items": items, "MorePages": False, "CurrentRev": self._revision})
 
-    def _lose_answer(self, request):
+    def _abort_if_losing_answers(self, request):
         """Abort the connection after a completed write if `loses_answers` is set."""
         if self.loses_answers and request.transport is not None:
             request.transport.abort()
@@ -144,11 +146,11 @@
         if since < self.history_from:
             return _json({}, 410)
 
-        def found():
+        def matching_events():
             return [
                 {"Object": item, "Deleted": deleted}
-                for revision, at, item, deleted in self._changes
-                if revision > since and at == kind
+                for revision, object_kind, item, deleted in self._changes
+                if revision > since and object_kind == kind
             ]
 
         self.waiting_by_kind[kind] += 1
@@ -157,30 +159,30 @@
                 asyncio.timeout(int(request.query["WaitMs"]) / 1000),
                 self._changed,
             ):
-                await self._changed.wait_for(found)
+                await self._changed.wait_for(matching_events)
         except TimeoutError:
             pass
         finally:
             self.waiting_by_kind[kind] -= 1
-        await self._check(request)
-        return _json({"Events": found(), "CurrentRev": self._revision})
+        await self._delay_or_fail(request)
+        return _json({"Events": matching_events(), "CurrentRev": self._revision})
 
     async def _serve_one(self, request):
-        await self._check(request)
+        await self._delay_or_fail(request)
         key = request.match_info["kind"], request.match_info["name"]
-        known = self._objects.get(key)
-        if known is None:
+        current = self._objects.get(key)
+        if current is None:
             return _json({}, 404)
         if request.method == "PUT":
             body = await request.json()
             expected = body["Metadata"].get("Revision")
-            if expected is not None and expected != known["Metadata"]["Revision"]:
-                return _json(known, 409)
-            known = await self._change(*key, body["Spec"], False)
-            self._lose_answer(request)
+            if expected is not None and expected != current["Metadata"]["Revision"]:
+                return _json(current, 409)
+            current = await self._change(*key, body["Spec"], False)
+            self._abort_if_losing_answers(request)
         elif request.method == "DELETE":
-            await self._change(*key, known["Spec"], True)
-        return _json(known)
+            await self._change(*key, current["Spec"], True)
+        return _json(current)
 
 
 def _json(value, status=200):
@@ -330,7 +332,7 @@
             writer.write(make_answer(421, headers, {"X-Instance-Id": self.name}))
             return
         if self.turns_away:
-            await self._turn_away(headers, writer)
+            await self._refuse_as_full(headers, writer)
             return
         self.runs.append(headers)
         self.began.set()
@@ -354,7 +356,7 @@
             make_answer(self.status, headers, stamp, body) + self.second_answer
         )
 
-    async def _turn_away(self, headers, writer):
+    async def _refuse_as_full(self, headers, writer):
         body = b"full"
         answer = make_answer(503, headers, {"X-Not-Executed": "1"}, body)
         writer.write(answer.removesuffix(body))
@@ -371,8 +373,8 @@
         await writer.drain()
         if self.resets_unframed:
             linger = struct.pack("ii", 1, 0)
-            raw = writer.get_extra_info("socket")
-            raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
+            raw_socket = writer.get_extra_info("socket")
+            raw_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
             await asyncio.sleep(0.05)
             writer.transport.abort()
             return
@@ -499,8 +501,8 @@
         self._store_address = store_address
         self._seeds = seeds
         self._grace = grace
-        self._child = None
-        self._settings = None
+        self._process = None
+        self._settings_path = None
         self.log = None
 
     async def __aenter__(self):
@@ -517,27 +519,27 @@
         )
         with tempfile.NamedTemporaryFile("w", delete=False) as settings:
             settings.write(text)
-        self._settings = settings.name
+        self._settings_path = settings.name
         self.log = tempfile.TemporaryFile()  # noqa: SIM115
         await self.start()
         return self
 
     async def start(self):
         """Start the process, the first time or again after it has exited."""
-        self._child = await asyncio.create_subprocess_exec(
+        self._process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
             "sesamespindle.platform.launch",
             stdout=self.log,
             stderr=self.log,
-            env=os.environ | {"SESAMESPINDLE_NODE_FILE": self._settings},
+            env=os.environ | {"SESAMESPINDLE_NODE_FILE": self._settings_path},
         )
 
     async def __aexit__(self, *exc_info):
         if self.is_running:
-            self._child.kill()
-        await self._child.wait()
-        os.unlink(self._settings)
+            self._process.kill()
+        await self._process.wait()
+        os.unlink(self._settings_path)
         self.log.close()
 
     @property
@@ -570,12 +572,12 @@
     @property
     def is_running(self):
         """Whether the process runs."""
-        return self._child.returncode is None
+        return self._process.returncode is None
 
     def send_signal(self, number):
         """Send a signal, if the process still runs."""
         if self.is_running:
-            self._child.send_signal(number)
+            self._process.send_signal(number)
 
     def terminate(self):
         """Send SIGTERM."""
@@ -583,7 +585,7 @@
 
     async def ended(self):
         """Wait until the process exits, and return its exit code."""
-        return await self._child.wait()
+        return await self._process.wait()
 
     def lines(self):
         """Return the lines that the daemon has logged so far."""
@@ -592,7 +594,7 @@
 
     def describe(self):
         """Return whether the process runs, and the last 20 lines of its log."""
-        state = "runs" if self.is_running else f"exited with {self._child.returncode}"
+        state = "runs" if self.is_running else f"exited with {self._process.returncode}"
         return "\n".join([f"{self.name} at {self.ip}: {state}", *self.lines()[-20:]])
 
 
@@ -605,7 +607,7 @@
         self._prefix = f"127.{os.getpid() >> 8 & 127}.{os.getpid() & 255}"
         self._stack = contextlib.AsyncExitStack()
         self._ports = None
-        self._hosts = 0
+        self._daemon_count = 0
         self.store = None
         self.session = None
         self.daemons = []
@@ -626,11 +628,11 @@
 
     async def add_target(self, name, service="desk", address=None):
         """Start a target and list it in the store."""
-        made = Target(name, address or self._address(), service)
-        await self._stack.enter_async_context(made)
-        await self.store.put("servers", name, made.entry())
-        self.target_by_name[name] = made
-        return made
+        target = Target(name, address or self._address(), service)
+        await self._stack.enter_async_context(target)
+        await self.store.put("servers", name, target.entry())
+        self.target_by_name[name] = target
+        return target
 
     async def bring_back(self, target):
         """Start a crashed target again under its name, and list it in the store."""
@@ -639,24 +641,29 @@
 
     async def add_daemon(self, seeds=(), grace=8):
         """Start a daemon and wait until it is ready."""
-        made = await self.start_daemon(seeds, grace)
-        await self.until(lambda: self.is_ready(made))
-        return made
+        daemon = await self.start_daemon(seeds, grace)
+        await self.until(lambda: self.is_ready(daemon))
+        return daemon
 
     async def start_daemon(self, seeds=(), grace=8):
         """Start a daemon without waiting until it is ready."""
-        self._hosts += 1
-        ip = f"{self._prefix}.{self._hosts}"
-        made = Daemon(
-            f"entry-{self._hosts}", ip, self._ports, self.store.address, seeds, grace
+        self._daemon_count += 1
+        ip = f"{self._prefix}.{self._daemon_count}"
+        daemon = Daemon(
+            f"entry-{self._daemon_count}",
+            ip,
+            self._ports,
+            self.store.address,
+            seeds,
+            grace,
         )
-        await self._stack.enter_async_context(made)
-        self.daemons.append(made)
-        return made
+        await self._stack.enter_async_context(daemon)
+        self.daemons.append(daemon)
+        return daemon
 
     def next_ip(self):
         """Return the IP address that the next daemon gets."""
-        return f"{self._prefix}.{self._hosts + 1}"
+        return f"{self._prefix}.{self._daemon_count + 1}"
 
     async def is_ready(self, daemon):
         """Return whether a daemon's readiness probe succeeds."""
@@ -677,9 +684,9 @@
         ) as response:
             return response.status, response.headers, await response.read()
 
-    async def until(self, holds):
+    async def until(self, condition):
         """Wait until an asynchronous condition holds, as the function `until`."""
-        await until(holds)
+        await until(condition)
 
     def _address(self):
         return f"127.0.0.1:{free_ports(1)[0]}"
@@ -693,14 +700,14 @@
     The guard holds because all ports are open at once here before any is closed.
     """
     with contextlib.ExitStack() as stack:
-        opened = [
+        sockets = [
             stack.enter_context(socket.create_server(("127.0.0.1", 0)))
             for _ in range(count)
         ]
-        return [listening.getsockname()[1] for listening in opened]
+        return [opened.getsockname()[1] for opened in sockets]
 
 
-async def until(holds):
+async def until(condition):
     """Wait until an asynchronous condition holds.
 
     Raises
@@ -709,7 +716,7 @@
         If it doesn't hold within `PATIENCE_SECONDS`.
     """
     async with asyncio.timeout(PATIENCE_SECONDS):
-        while not await holds():
+        while not await condition():
             await asyncio.sleep(0.02)
 
 
