--- a/tests/soak/test_checker.py
+++ b/tests/soak/test_checker.py
@@ -45,7 +45,7 @@
     return {item.promise for item in checker.check(records.Journal(**of_journal))}
 
 
-def test_records_of_a_calm_time_break_nothing():
+def test_records_without_faults_break_no_promise():
     assert _promises(sent_requests=[_SENT], runs=[_RUN]) == set()
     assert _promises(sent_requests=[_CHAT], runs=[_CHAT_RUN]) == set()
     assert _promises(sent_requests=[_PROBE], runs=[_PROBE_RUN]) == set()
@@ -172,7 +172,7 @@
     assert _promises(sent_requests=[refused], faults=[_STOP]) == set()
 
 
-def test_a_directory_that_names_a_daemon_which_leaves_is_found():
+def test_a_directory_that_names_a_leaving_daemon_is_found():
     """A directory names a leaving daemon although one that stays is available."""
     promise = {"directories omit leaving daemons"}
     answer = records.DirectoryAnswer("entry-1", 21.1, ("entry-1", "entry-2"))
@@ -206,7 +206,7 @@
         ("desk-1", records.Area.TARGET, 17.0, 19.0, False, True),
     ],
 )
-def test_a_directory_may_name_a_leaving_daemon_only_where_it_knows_no_other(
+def test_a_directory_may_name_a_leaving_daemon_only_if_it_knows_no_other(
     subject, area, began, ended, planned, is_found
 ):
     answer = records.DirectoryAnswer("entry-3", 21.5, ("entry-1",))
@@ -223,7 +223,7 @@
     assert ("directories omit leaving daemons" in promises) == is_found
 
 
-def test_an_old_configuration_is_found_after_its_time():
+def test_a_configuration_that_stays_active_too_long_is_found():
     promise = "active configuration"
     dropped = records.Change("configuration", 17.0, version=5)
     assert promise in _promises(
@@ -237,7 +237,7 @@
     assert promise not in promises
 
 
-def test_a_daemon_that_goes_back_to_an_older_configuration_is_found():
+def test_a_daemon_that_returns_to_an_older_configuration_is_found():
     newer = dataclasses.replace(_PROBE, request_id="r0", version=5, ended_at=10.0)
     promises = _promises(sent_requests=[newer, _PROBE], runs=[_PROBE_RUN])
     assert "no return to an older configuration" in promises
@@ -246,7 +246,7 @@
     assert "no return to an older configuration" not in promises
 
 
-def test_work_for_a_target_that_left_is_found():
+def test_late_requests_to_a_leaving_target_are_found():
     left = records.Change("leaving", 17.0, subject="desk-1")
     assert "no requests to leaving targets" in _promises(runs=[_RUN], changes=[left])
 
@@ -259,14 +259,14 @@
         ("epochs rise", records.Order("llm-1", 30.0, "entry-2", 6)),
     ],
 )
-def test_two_holders_are_found(promise, later):
+def test_two_leaseholders_at_a_time_are_found(promise, later):
     first = records.Order("llm-1", 20.0, "entry-1", 7)
     assert promise in _promises(orders=[first, later])
     apart = records.Order("llm-1", 23.5, "entry-2", 8)
     assert _promises(orders=[first, apart]) == set()
 
 
-def test_old_weights_are_found():
+def test_superseded_weights_are_found():
     named = records.Change("weights", 11.0, version=2)
     promises = _promises(runs=[_CHAT_RUN], changes=[named])
     assert promises == {"newest weights"}
@@ -287,7 +287,7 @@
 
 @pytest.mark.parametrize("subject", ["entry-1", "entry-2", ""])
 @pytest.mark.parametrize("what", ["SIGTERM", "SIGKILL", "end all", "pause"])
-def test_old_weights_are_found_after_daemons_failed(what, subject):
+def test_superseded_weights_are_found_after_daemons_failed(what, subject):
     """A daemon sends a prompt to an engine whose weights were superseded 11 s before.
 
     It missed the announcement because it had exited or was paused. It counts the
@@ -309,7 +309,7 @@
         ("", 28.2, False),
     ],
 )
-def test_old_weights_are_allowed_to_a_daemon_that_is_just_back(
+def test_superseded_weights_are_allowed_for_a_daemon_that_is_just_back(
     subject, ended, is_found
 ):
     for what in ("SIGKILL", "pause"):
@@ -317,7 +317,7 @@
         assert _is_late_run_found(fault) == is_found
 
 
-def test_old_weights_are_found_though_a_daemon_reloads_or_targets_fail():
+def test_superseded_weights_are_found_though_a_daemon_reloads_or_targets_fail():
     reload = records.Fault("reload", records.Area.DAEMON, "entry-1", 30.0, 30.1)
     crash = records.Fault("crash", records.Area.TARGET, "llm-2", 24.0, 26.0)
     lost = records.Fault("lose answers", records.Area.TARGET, "llm-1", 19.0, 40.0)
@@ -344,29 +344,29 @@
         ("cut link", records.Area.STORE, "entry-2", 24.0, 24.0, False),
     ],
 )
-def test_old_weights_are_allowed_until_a_calm_time_has_passed(
+def test_superseded_weights_are_allowed_until_an_undisturbed_time_has_passed(
     what, area, subject, began, ended, is_found
 ):
     fault = records.Fault(what, area, subject, began, ended)
     assert _is_late_run_found(fault) == is_found
 
 
-def test_old_weights_are_found_once_calm_spans_add_up():
+def test_superseded_weights_are_found_once_undisturbed_spans_add_up():
     """Undisturbed spans of 2 s or more add up; weights are due after 11 s of them."""
     named = records.Change("weights", 10.0, version=2)
     # Undisturbed from 10 to 14 s, from 14.5 to 18 s, and from 18.5 s on.
-    harmed = [
+    link_faults = [
         records.Fault("link freeze", records.Area.TARGET, "llm-2", began, began + 0.5)
         for began in (14.0, 18.0)
     ]
     early = dataclasses.replace(_CHAT_RUN, at=22.4)
-    assert _promises(runs=[early], changes=[named], faults=harmed) == set()
+    assert _promises(runs=[early], changes=[named], faults=link_faults) == set()
     late = dataclasses.replace(_CHAT_RUN, at=22.6)
-    promises = _promises(runs=[late], changes=[named], faults=harmed)
+    promises = _promises(runs=[late], changes=[named], faults=link_faults)
     assert promises == {"newest weights"}
     # Spans of less than 2 s don't count: 14.5 to 16 s and 16.5 to 18 s.
     split = records.Fault("link freeze", records.Area.TARGET, "llm-2", 16.0, 16.5)
-    promises = _promises(runs=[late], changes=[named], faults=[*harmed, split])
+    promises = _promises(runs=[late], changes=[named], faults=[*link_faults, split])
     assert promises == set()
 
 
@@ -376,7 +376,7 @@
         assert _promises(runs=[_CHAT_RUN, other]) == {"KV cache is isolated"}
 
 
-def test_what_does_not_recover_and_what_ends_by_itself_is_found():
+def test_refusals_after_the_recovery_time_and_exits_without_a_signal_are_found():
     refused = dataclasses.replace(_SENT, status=503, stamp=None)
     assert "recovery after faults" in _promises(
         sent_requests=[refused], recovered_at=5.0
@@ -403,7 +403,7 @@
     assert _find_crashing(3) == set()
 
 
-def test_a_daemon_that_is_out_of_touch_may_not_know_what_crashes_targets():
+def test_a_daemon_without_contact_may_not_know_what_crashes_targets():
     paused = records.Fault("pause", records.Area.DAEMON, "entry-1", 13.0, 15.9)
     elsewhere = records.Fault("pause", records.Area.DAEMON, "entry-2", 13.0, 15.9)
     assert _find_crashing(4, paused) == set()
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -45,14 +45,14 @@
     assert len(outcome.journal.sent_requests) > 100
 
 
-def test_promises_hold_while_targets_start_again_under_their_names():
+def test_promises_hold_while_targets_restart_under_their_names():
     outcome = asyncio.run(play.play(7, seconds=12.0, announcements=False))
     assert outcome.violations == []
     assert any(fault.what == "restart" for fault in outcome.journal.faults)
 
 
 @pytest.mark.parametrize("seed", SEEDS_WITH_ANNOUNCEMENTS)
-def test_promises_hold_while_weights_are_named_as_daemons_fail(seed):
+def test_promises_hold_while_weights_are_announced_as_daemons_fail(seed):
     outcome = asyncio.run(play.play(seed, seconds=4.0))
     assert outcome.violations == []
     assert any(order.delay for order in outcome.journal.orders)
--- a/tests/support/soak/targets.py
+++ b/tests/support/soak/targets.py
@@ -65,6 +65,13 @@
 
     Attributes
     ----------
+    weights : int
+        The weight version that an engine runs.
+    failing_share : float
+        The share of plain requests that it answers with status 500.
+    answers_lost_share : float
+        The share of plain answers, or of events of streams, at which it breaks the
+        connection.
     late_orders_share : float
         The share of orders that get no answer and are carried out later.
     order_source : random.Random
--- a/tests/support/soak/world.py
+++ b/tests/support/soak/world.py
@@ -46,7 +46,7 @@
         # never shared with other accounts.
         self.keys = (("key-of-acme", "acme"), ("key-of-bank", "bank"))
         self._daemon_count = daemons
-        self._ending = set()
+        self._ending_daemons = set()
         self._crash_tasks = set()
         self._crash_source = random.Random(f"crashes {seed}")
         self.weights = 1
@@ -247,15 +247,15 @@
 
         If an earlier call for the daemon isn't finished, only send the signal.
         """
-        if daemon.name in self._ending:
+        if daemon.name in self._ending_daemons:
             daemon.send_signal(signal_number)
             return
-        self._ending.add(daemon.name)
+        self._ending_daemons.add(daemon.name)
         daemon.send_signal(signal_number)
         await daemon.ended()
         await asyncio.sleep(restart_delay)
         await self.restart_daemon(daemon)
-        self._ending.discard(daemon.name)
+        self._ending_daemons.discard(daemon.name)
 
     async def restart_daemon(self, daemon):
         """Start a daemon that has exited."""
@@ -266,7 +266,7 @@
         """Record and restart daemons that exit without a signal, until cancelled."""
         while True:
             for daemon in self.daemon_by_name.values():
-                if daemon.is_running or daemon.name in self._ending:
+                if daemon.is_running or daemon.name in self._ending_daemons:
                     continue
                 self.journal.exits.append((daemon.name, await daemon.ended()))
                 await self.restart_daemon(daemon)
--- a/tests/support/standins.py
+++ b/tests/support/standins.py
@@ -196,10 +196,26 @@
     ----------
     runs : list of dict
         The headers of every request that it ran, with names in lower case.
+    began : asyncio.Event
+        Set once it runs a request.
+    refused : int
+        The number of requests refused because they name another target.
+    status : int
+        The status of answers by the plain service.
+    body : bytes
+        The body of the latest request.
+    readers, writers : list
+        The streams of the current incarnation's connections, oldest first.
     second_answer : bytes
         Bytes sent after each answer, which belong to no request.
     is_mute : bool
         Whether it runs requests without ever answering them.
+    loses_answers : bool
+        Whether it runs requests and then aborts the connection instead of answering.
+    unframed_bytes : int
+        If not 0, the plain service answers with that many bytes and without a length.
+    resets_unframed : bool
+        Whether such an answer ends with a TCP reset instead of an orderly close.
     born : int or None
         When its incarnation started, in ms since 1970, as its record states it; None
         to leave it out of the record.
