--- a/tests/soak/test_checker.py
+++ b/tests/soak/test_checker.py
@@ -1,11 +1,11 @@
-"""The soak's checker finds each kind of broken promise in made-up records."""
+"""The soak's checker finds each kind of broken promise in constructed records."""
 
 import dataclasses
 
 import pytest
 from soak import checker, records, targets
 
-_ASKED = records.Asked(
+_SENT = records.SentRequest(
     "r1",
     records.Kind.ONCE,
     "entry-1",
@@ -21,7 +21,7 @@
 )
 _RUN = records.Run("r1", "desk-1", "desk", "/once/r1", 20.05, 200, "acme", None, 5990)
 _CHAT = dataclasses.replace(
-    _ASKED,
+    _SENT,
     kind=records.Kind.CHAT,
     path="/chat/r1",
     body=b"".join(
@@ -33,7 +33,7 @@
     _RUN, target="llm-1", service="llm", path="/chat/r1", weights=1, salt="1"
 )
 _PROBE = dataclasses.replace(
-    _ASKED, kind=records.Kind.PROBE, path="/probe-4/r1", version=4
+    _SENT, kind=records.Kind.PROBE, path="/probe-4/r1", version=4
 )
 _PROBE_RUN = dataclasses.replace(_RUN, path="/probe-4/r1")
 _STOP = records.Fault(
@@ -45,97 +45,106 @@
     return {item.promise for item in checker.check(records.Journal(**of_journal))}
 
 
-def test_records_of_a_calm_time_break_nothing():
-    assert _promises(asked=[_ASKED], runs=[_RUN]) == set()
-    assert _promises(asked=[_CHAT], runs=[_CHAT_RUN]) == set()
-    assert _promises(asked=[_PROBE], runs=[_PROBE_RUN]) == set()
+def test_records_without_faults_break_no_promise():
+    assert _promises(sent_requests=[_SENT], runs=[_RUN]) == set()
+    assert _promises(sent_requests=[_CHAT], runs=[_CHAT_RUN]) == set()
+    assert _promises(sent_requests=[_PROBE], runs=[_PROBE_RUN]) == set()
 
 
 @pytest.mark.parametrize(
-    ("promise", "asked", "runs"),
+    ("promise", "changed", "runs"),
     [
         ("at most once", {}, [_RUN, _RUN]),
         ("not run is true", {"status": 503, "stamp": None}, [_RUN]),
-        ("whole answer", {"body": b"desk-1 ran r2"}, [_RUN]),
-        ("whole answer", {"stamp": None}, [_RUN]),
-        ("whole answer", {}, []),
+        ("complete answer", {"body": b"desk-1 ran r2"}, [_RUN]),
+        ("complete answer", {"stamp": None}, [_RUN]),
+        ("complete answer", {}, []),
         ("failures are the target's", {"status": 502}, [_RUN]),
         ("proper requests are served", {"status": 404, "stamp": None}, []),
         ("the route's service", {}, [dataclasses.replace(_RUN, service="llm")]),
         ("path unchanged", {}, [dataclasses.replace(_RUN, path="/once/r2")]),
-        ("account for key", {}, [dataclasses.replace(_RUN, account="bank")]),
-        ("account for key", {}, [dataclasses.replace(_RUN, key="key-of-acme")]),
-        ("time that is left", {}, [dataclasses.replace(_RUN, deadline_ms=9000)]),
+        (
+            "account replaces the API key",
+            {},
+            [dataclasses.replace(_RUN, account="bank")],
+        ),
+        (
+            "account replaces the API key",
+            {},
+            [dataclasses.replace(_RUN, key="key-of-acme")],
+        ),
+        ("remaining deadline", {}, [dataclasses.replace(_RUN, deadline_ms=9000)]),
     ],
 )
-def test_a_broken_promise_to_a_caller_is_found(promise, asked, runs):
-    made = dataclasses.replace(_ASKED, **asked)
-    assert promise in _promises(asked=[made], runs=runs)
+def test_a_broken_promise_to_a_caller_is_found(promise, changed, runs):
+    sent = dataclasses.replace(_SENT, **changed)
+    assert promise in _promises(sent_requests=[sent], runs=runs)
 
 
 @pytest.mark.parametrize(
     ("promise", "status", "body"),
     [
-        ("whole stream", 200, targets.event("r1", 1)),
-        ("whole stream", 200, _CHAT.body + targets.event("r1", 1)),
+        ("complete stream", 200, targets.event("r1", 1)),
+        ("complete stream", 200, _CHAT.body + targets.event("r1", 1)),
         ("events in order", None, targets.event("r1", 2)),
         ("events in order", None, targets.event("r2", 1)),
     ],
 )
 def test_a_stream_with_a_gap_or_of_another_request_is_found(promise, status, body):
-    made = dataclasses.replace(_CHAT, status=status, body=body)
-    assert promise in _promises(asked=[made], runs=[_CHAT_RUN])
+    sent = dataclasses.replace(_CHAT, status=status, body=body)
+    assert promise in _promises(sent_requests=[sent], runs=[_CHAT_RUN])
 
 
 def test_a_request_cut_off_by_a_stop_is_found_unless_something_else_failed():
-    cut = dataclasses.replace(_ASKED, status=None, stamp=None)
+    cut = dataclasses.replace(_SENT, status=None, stamp=None)
     promise = "a stop cuts nothing off"
-    assert promise in _promises(asked=[cut], runs=[_RUN], faults=[_STOP])
+    assert promise in _promises(sent_requests=[cut], runs=[_RUN], faults=[_STOP])
     crash = records.Fault("crash", records.Area.TARGET, "desk-1", 18.0, 20.0)
-    found = _promises(asked=[cut], runs=[_RUN], faults=[_STOP, crash])
-    assert promise not in found
+    promises = _promises(sent_requests=[cut], runs=[_RUN], faults=[_STOP, crash])
+    assert promise not in promises
 
 
-def _cut_stream(sent_at, ended_at, request):
-    asked = dataclasses.replace(
+def _cut_stream(sent_at, ended_at, request_id):
+    sent = dataclasses.replace(
         _CHAT,
-        request=request,
-        path=f"/chat/{request}",
+        request_id=request_id,
+        path=f"/chat/{request_id}",
         sent_at=sent_at,
         ended_at=ended_at,
         status=None,
-        body=targets.event(request, 1),
+        body=targets.event(request_id, 1),
         deadline_ms=9500,
     )
     run = dataclasses.replace(
-        _CHAT_RUN, request=request, path=asked.path, at=sent_at + 0.01
+        _CHAT_RUN, request_id=request_id, path=sent.path, at=sent_at + 0.01
     )
-    return asked, run
+    return sent, run
 
 
 def _request_of_stream(is_long):
     return next(
-        request
-        for request in map(str, range(100))
-        if (targets.event_seconds(request) > 0.4) == is_long
+        request_id
+        for request_id in map(str, range(100))
+        if (targets.event_seconds(request_id) > 0.4) == is_long
     )
 
 
 @pytest.mark.parametrize(
     ("since_stop", "lasts", "is_long", "promises"),
     [
-        # A stream that was taken late and cut in the middle.
+        # Sent after callers could know of the stop, accepted and cut in the middle.
         (
             3.02,
             4.7,
             True,
-            {"a stop cuts nothing off", "what is taken late is finished"},
+            {"a stop cuts nothing off", "requests accepted late are completed"},
         ),
-        # Sent before callers could know, and still at work in the last sixth.
+        # Sent before callers could know, and still running in the last sixth of the
+        # grace time.
         (2.9, 4.7, True, set()),
-        # Cut off sooner than the daemon has to end.
+        # Cut off before the last sixth of the grace time.
         (2.9, 3.7, True, {"a stop cuts nothing off"}),
-        # It would have been over long before.
+        # Short: it should have been complete long before.
         (2.9, 4.7, False, {"a stop cuts nothing off"}),
     ],
 )
@@ -143,140 +152,146 @@
     since_stop, lasts, is_long, promises
 ):
     sent_at = _STOP.began + since_stop
-    asked, run = _cut_stream(sent_at, sent_at + lasts, _request_of_stream(is_long))
+    sent, run = _cut_stream(sent_at, sent_at + lasts, _request_of_stream(is_long))
     stop = dataclasses.replace(_STOP, ended=_STOP.began + 8.5)
-    assert _promises(asked=[asked], runs=[run], faults=[stop]) == promises
+    assert _promises(sent_requests=[sent], runs=[run], faults=[stop]) == promises
     crash = records.Fault("crash", records.Area.TARGET, "llm-1", 18.0, 20.0)
-    assert _promises(asked=[asked], runs=[run], faults=[stop, crash]) == set()
+    assert _promises(sent_requests=[sent], runs=[run], faults=[stop, crash]) == set()
 
 
 def test_a_failure_in_place_of_the_answer_to_a_late_request_is_found():
     late = dataclasses.replace(
-        _ASKED, sent_at=22.1, ended_at=22.2, status=502, stamp=None
+        _SENT, sent_at=22.1, ended_at=22.2, status=502, stamp=None
     )
     run = dataclasses.replace(_RUN, at=22.15)
-    found = _promises(asked=[late], runs=[run], faults=[_STOP])
-    assert found == {"what is taken late is finished"}
+    promises = _promises(sent_requests=[late], runs=[run], faults=[_STOP])
+    assert promises == {"requests accepted late are completed"}
     in_time = dataclasses.replace(late, sent_at=21.9)
-    assert _promises(asked=[in_time], runs=[run], faults=[_STOP]) == set()
+    assert _promises(sent_requests=[in_time], runs=[run], faults=[_STOP]) == set()
     refused = dataclasses.replace(late, status=503)
-    assert _promises(asked=[refused], faults=[_STOP]) == set()
-
-
-def test_a_directory_that_names_a_daemon_which_leaves_is_found():
-    """A leaving daemon may name itself and peers that leave, if it knows no other."""
-    promise = {"directories name who stays"}
-    told = records.Told("entry-1", 21.1, ("entry-1", "entry-2"))
-    stays = records.Told("entry-2", 1.0, ("entry-1", "entry-2"))
-    assert _promises(told=[told, stays], faults=[_STOP]) == promise
-    early = dataclasses.replace(told, asked_at=20.9)
-    assert _promises(told=[early, stays], faults=[_STOP]) == set()
-    right = dataclasses.replace(told, named=("entry-2",))
-    assert _promises(told=[right, stays], faults=[_STOP]) == set()
-    assert _promises(told=[told, stays], faults=[_STOP], ready_at=17.0) == set()
+    assert _promises(sent_requests=[refused], faults=[_STOP]) == set()
+
+
+def test_a_directory_that_names_a_leaving_daemon_is_found():
+    """A directory names a leaving daemon although one that stays is available."""
+    promise = {"directories omit leaving daemons"}
+    answer = records.DirectoryAnswer("entry-1", 21.1, ("entry-1", "entry-2"))
+    stays = records.DirectoryAnswer("entry-2", 1.0, ("entry-1", "entry-2"))
+    assert _promises(directory_answers=[answer, stays], faults=[_STOP]) == promise
+    early = dataclasses.replace(answer, asked_at=20.9)
+    assert _promises(directory_answers=[early, stays], faults=[_STOP]) == set()
+    right = dataclasses.replace(answer, named=("entry-2",))
+    assert _promises(directory_answers=[right, stays], faults=[_STOP]) == set()
+    assert (
+        _promises(directory_answers=[answer, stays], faults=[_STOP], ready_at=17.0)
+        == set()
+    )
 
 
 @pytest.mark.parametrize(
     ("subject", "area", "began", "ended", "planned", "is_found"),
     [
-        # Nobody else is there, or not for long enough.
+        # No other daemon is available, or not for long enough.
         ("entry-2", records.Area.DAEMON, 20.0, 28.0, True, False),
         ("entry-2", records.Area.DAEMON, 9.0, 17.0, True, False),
-        # It came back in time, or began to leave only afterwards.
+        # The other one was back in time, or began to leave only afterwards.
         ("entry-2", records.Area.DAEMON, 7.0, 16.0, True, True),
         ("entry-2", records.Area.DAEMON, 22.0, 30.0, True, True),
-        # The daemon that answers has only just begun to learn.
+        # The daemon that answers started too recently to know its peers.
         ("entry-3", records.Area.DAEMON, 9.0, 17.0, True, False),
-        # They can't learn of each other, or could long enough.
+        # A failing store keeps daemons from learning of each other, or its failure was
+        # over for long enough, or the fault is one of a target.
         ("", records.Area.STORE, 13.5, 14.0, False, False),
         ("", records.Area.STORE, 12.0, 13.0, False, True),
         ("desk-1", records.Area.TARGET, 17.0, 19.0, False, True),
     ],
 )
-def test_a_directory_may_name_a_leaving_daemon_only_where_it_knows_no_other(
+def test_a_directory_may_name_a_leaving_daemon_only_if_it_knows_no_other(
     subject, area, began, ended, planned, is_found
 ):
-    told = records.Told("entry-3", 21.5, ("entry-1",))
-    stays = records.Told("entry-2", 1.0, ("entry-2",))
+    answer = records.DirectoryAnswer("entry-3", 21.5, ("entry-1",))
+    stays = records.DirectoryAnswer("entry-2", 1.0, ("entry-2",))
     other = records.Fault("SIGTERM", area, subject, began, ended, planned=planned)
     stop = dataclasses.replace(_STOP, ended=27.0)
     faults = [stop, other]
     if subject == "entry-3":
-        found = _promises(told=[told, stays], faults=faults)
+        promises = _promises(directory_answers=[answer, stays], faults=faults)
     else:
-        # The one that answers leaves too, so that only the other could stay.
+        # The daemon that answers leaves too, so that only the other one could stay.
         own = dataclasses.replace(stop, subject="entry-3")
-        found = _promises(told=[told, stays], faults=[*faults, own])
-    assert ("directories name who stays" in found) == is_found
+        promises = _promises(directory_answers=[answer, stays], faults=[*faults, own])
+    assert ("directories omit leaving daemons" in promises) == is_found
 
 
-def test_an_old_configuration_is_found_after_its_time():
-    promise = "configuration in force"
+def test_a_configuration_that_stays_active_too_long_is_found():
+    promise = "active configuration"
     dropped = records.Change("configuration", 17.0, version=5)
-    assert promise in _promises(asked=[_PROBE], runs=[_PROBE_RUN], changes=[dropped])
+    assert promise in _promises(
+        sent_requests=[_PROBE], runs=[_PROBE_RUN], changes=[dropped]
+    )
     unknown = dataclasses.replace(_PROBE, status=404, stamp=None)
     added = records.Change("configuration", 17.0, version=4)
-    assert promise in _promises(asked=[unknown], changes=[added])
+    assert promise in _promises(sent_requests=[unknown], changes=[added])
     away = records.Fault("is_away", records.Area.STORE, "", 16.0, 18.0)
-    found = _promises(asked=[unknown], changes=[added], faults=[away])
-    assert promise not in found
+    promises = _promises(sent_requests=[unknown], changes=[added], faults=[away])
+    assert promise not in promises
 
 
-def test_a_daemon_that_goes_back_to_an_older_configuration_is_found():
-    newer = dataclasses.replace(_PROBE, request="r0", version=5, ended_at=10.0)
-    found = _promises(asked=[newer, _PROBE], runs=[_PROBE_RUN])
-    assert "configuration never back" in found
-    restarted = dataclasses.replace(_PROBE, life=2)
-    found = _promises(asked=[newer, restarted], runs=[_PROBE_RUN])
-    assert "configuration never back" not in found
+def test_a_daemon_that_returns_to_an_older_configuration_is_found():
+    newer = dataclasses.replace(_PROBE, request_id="r0", version=5, ended_at=10.0)
+    promises = _promises(sent_requests=[newer, _PROBE], runs=[_PROBE_RUN])
+    assert "no return to an older configuration" in promises
+    restarted = dataclasses.replace(_PROBE, incarnation=2)
+    promises = _promises(sent_requests=[newer, restarted], runs=[_PROBE_RUN])
+    assert "no return to an older configuration" not in promises
 
 
-def test_work_for_a_target_that_left_is_found():
+def test_late_requests_to_a_leaving_target_are_found():
     left = records.Change("leaving", 17.0, subject="desk-1")
-    assert "leaving targets" in _promises(runs=[_RUN], changes=[left])
+    assert "no requests to leaving targets" in _promises(runs=[_RUN], changes=[left])
 
 
 @pytest.mark.parametrize(
     ("promise", "later"),
     [
-        ("one holder", records.Order("llm-2", 22.0, "entry-2", 8)),
-        ("one holder", records.Order("llm-2", 30.0, "entry-2", 7)),
+        ("one leaseholder", records.Order("llm-2", 22.0, "entry-2", 8)),
+        ("one leaseholder", records.Order("llm-2", 30.0, "entry-2", 7)),
         ("epochs rise", records.Order("llm-1", 30.0, "entry-2", 6)),
     ],
 )
-def test_two_holders_are_found(promise, later):
+def test_two_leaseholders_at_a_time_are_found(promise, later):
     first = records.Order("llm-1", 20.0, "entry-1", 7)
     assert promise in _promises(orders=[first, later])
     apart = records.Order("llm-1", 23.5, "entry-2", 8)
     assert _promises(orders=[first, apart]) == set()
 
 
-def test_old_weights_are_found():
+def test_superseded_weights_are_found():
     named = records.Change("weights", 11.0, version=2)
-    found = _promises(runs=[_CHAT_RUN], changes=[named])
-    assert found == {"newest weights"}
-    found = _promises(changes=[named], final_weights_by_engine={"llm-1": 1})
-    assert found == {"all engines follow"}
+    promises = _promises(runs=[_CHAT_RUN], changes=[named])
+    assert promises == {"newest weights"}
+    promises = _promises(changes=[named], final_weights_by_engine={"llm-1": 1})
+    assert promises == {"all engines load the newest weights"}
 
 
 def _is_late_run_found(*faults):
-    """Return whether a run 11 s after a naming, by ``entry-1``, breaks a promise."""
+    """Return whether ``entry-1``'s run 11 s after an announcement breaks a promise."""
     named = records.Change("weights", 20.0, version=2)
-    asked = dataclasses.replace(_CHAT, sent_at=31.0, ended_at=31.5)
+    sent = dataclasses.replace(_CHAT, sent_at=31.0, ended_at=31.5)
     run = dataclasses.replace(_CHAT_RUN, at=31.0)
-    made = {"asked": [asked], "runs": [run], "changes": [named]}
-    found = _promises(**made, faults=list(faults))
-    assert found <= {"newest weights"}
-    return bool(found)
+    recorded = {"sent_requests": [sent], "runs": [run], "changes": [named]}
+    promises = _promises(**recorded, faults=list(faults))
+    assert promises <= {"newest weights"}
+    return bool(promises)
 
 
 @pytest.mark.parametrize("subject", ["entry-1", "entry-2", ""])
 @pytest.mark.parametrize("what", ["SIGTERM", "SIGKILL", "end all", "pause"])
-def test_old_weights_are_found_after_daemons_failed(what, subject):
-    """A daemon sent a prompt to an engine whose weights were replaced 11 s before.
+def test_superseded_weights_are_found_after_daemons_failed(what, subject):
+    """A daemon sends a prompt to an engine whose weights were superseded 11 s before.
 
-    It had missed the naming, as it had ended or stood still, and took the version
-    for a new one when it heard of it. It had been back for 4 s.
+    It missed the announcement because it had exited or was paused. It counts the
+    version's age from its own receipt of the announcement, and is back for 4 s.
     """
     fault = records.Fault(what, records.Area.DAEMON, subject, 20.5, 27.0)
     assert _is_late_run_found(fault)
@@ -285,16 +300,16 @@
 @pytest.mark.parametrize(
     ("subject", "ended", "is_found"),
     [
-        # Back for less, or for more, than it has to be in touch.
+        # Back for less or more than the 3 s of contact that the bound presumes.
         ("entry-1", 28.2, False),
         ("entry-1", 27.8, True),
-        # Another one sent it.
+        # Another daemon failed, not the one that sent the prompt.
         ("entry-2", 28.2, True),
-        # All of them.
+        # All daemons failed.
         ("", 28.2, False),
     ],
 )
-def test_old_weights_are_allowed_to_a_daemon_that_is_just_back(
+def test_superseded_weights_are_allowed_for_a_daemon_that_is_just_back(
     subject, ended, is_found
 ):
     for what in ("SIGKILL", "pause"):
@@ -302,7 +317,7 @@
         assert _is_late_run_found(fault) == is_found
 
 
-def test_old_weights_are_found_though_a_daemon_reloads_or_targets_fail():
+def test_superseded_weights_are_found_though_a_daemon_reloads_or_targets_fail():
     reload = records.Fault("reload", records.Area.DAEMON, "entry-1", 30.0, 30.1)
     crash = records.Fault("crash", records.Area.TARGET, "llm-2", 24.0, 26.0)
     lost = records.Fault("lose answers", records.Area.TARGET, "llm-1", 19.0, 40.0)
@@ -312,82 +327,84 @@
 @pytest.mark.parametrize(
     ("what", "area", "subject", "began", "ended", "is_found"),
     [
-        # The store is stable 3 s after its harm: from 22.4 or 22.6 on.
+        # The store counts as stable 3 s after its failure: from 22.4 or 22.6 s on.
         ("is_away", records.Area.STORE, "", 18.0, 19.4, True),
         ("is_away", records.Area.STORE, "", 18.0, 19.6, False),
         ("is_away", records.Area.STORE, "", 24.0, 25.0, False),
-        # Harmed once the time was over, and the daemon in touch again or not.
+        # The fault came after the time was over; it affects the sending daemon or not.
         ("link freeze", records.Area.TARGET, "llm-2", 28.6, 29.0, True),
         ("link freeze", records.Area.TARGET, "llm-1", 28.6, 29.0, False),
         ("is_away", records.Area.STORE, "", 28.6, 29.0, False),
         ("link freeze", records.Area.STORE, "entry-2", 28.6, 29.0, True),
         ("link freeze", records.Area.STORE, "entry-1", 28.6, 29.0, False),
-        # Any link that is harmed stops the clock.
+        # A fault of any link stops the time.
         ("link freeze", records.Area.TARGET, "llm-2", 21.0, 22.4, True),
         ("link freeze", records.Area.TARGET, "llm-2", 21.0, 22.6, False),
         ("link freeze", records.Area.STORE, "entry-2", 21.0, 22.4, True),
         ("cut link", records.Area.STORE, "entry-2", 24.0, 24.0, False),
     ],
 )
-def test_old_weights_are_allowed_until_a_calm_time_has_passed(
+def test_superseded_weights_are_allowed_until_an_undisturbed_time_has_passed(
     what, area, subject, began, ended, is_found
 ):
     fault = records.Fault(what, area, subject, began, ended)
     assert _is_late_run_found(fault) == is_found
 
 
-def test_old_weights_are_found_once_calm_spans_add_up():
-    """Spans of 2 s or more count together, and are due at 11 s."""
+def test_superseded_weights_are_found_once_undisturbed_spans_add_up():
+    """Undisturbed spans of 2 s or more add up; weights are due after 11 s of them."""
     named = records.Change("weights", 10.0, version=2)
-    # Calm from 10 to 14, 14.5 to 18 and 18.5 to 23 and later.
-    harmed = [
+    # Undisturbed from 10 to 14 s, from 14.5 to 18 s, and from 18.5 s on.
+    link_faults = [
         records.Fault("link freeze", records.Area.TARGET, "llm-2", began, began + 0.5)
         for began in (14.0, 18.0)
     ]
     early = dataclasses.replace(_CHAT_RUN, at=22.4)
-    assert _promises(runs=[early], changes=[named], faults=harmed) == set()
+    assert _promises(runs=[early], changes=[named], faults=link_faults) == set()
     late = dataclasses.replace(_CHAT_RUN, at=22.6)
-    found = _promises(runs=[late], changes=[named], faults=harmed)
-    assert found == {"newest weights"}
-    # Of less than 2 s each they don't count: 14.5 to 16 and 16.5 to 18.
+    promises = _promises(runs=[late], changes=[named], faults=link_faults)
+    assert promises == {"newest weights"}
+    # Spans of less than 2 s don't count: 14.5 to 16 s and 16.5 to 18 s.
     split = records.Fault("link freeze", records.Area.TARGET, "llm-2", 16.0, 16.5)
-    found = _promises(runs=[late], changes=[named], faults=[*harmed, split])
-    assert found == set()
+    promises = _promises(runs=[late], changes=[named], faults=[*link_faults, split])
+    assert promises == set()
 
 
 def test_kv_cache_that_is_shared_wrongly_is_found():
     for changed in ({"weights": 2}, {"account": "bank"}):
-        other = dataclasses.replace(_CHAT_RUN, request="r2", **changed)
-        assert _promises(runs=[_CHAT_RUN, other]) == {"KV cache kept apart"}
+        other = dataclasses.replace(_CHAT_RUN, request_id="r2", **changed)
+        assert _promises(runs=[_CHAT_RUN, other]) == {"KV cache is isolated"}
 
 
-def test_what_does_not_recover_and_what_ends_by_itself_is_found():
-    refused = dataclasses.replace(_ASKED, status=503, stamp=None)
-    assert "recovers" in _promises(asked=[refused], recovered_at=5.0)
-    assert _promises(exits=[("entry-1", 1)]) == {"the daemon stays up"}
+def test_refusals_after_the_recovery_time_and_exits_without_a_signal_are_found():
+    refused = dataclasses.replace(_SENT, status=503, stamp=None)
+    assert "recovery after faults" in _promises(
+        sent_requests=[refused], recovered_at=5.0
+    )
+    assert _promises(exits=[("entry-1", 1)]) == {"daemons keep running"}
 
 
 def _find_crashing(late_runs, *faults):
     crashes = [records.Crash("/chat/bad", f"llm-{n}", 10.0 + n) for n in range(3)]
     runs = [
-        dataclasses.replace(_RUN, request="bad", path="/chat/bad", at=16.0 + 0.1 * n)
+        dataclasses.replace(_RUN, request_id="bad", path="/chat/bad", at=16.0 + 0.1 * n)
         for n in range(late_runs)
     ]
     return _promises(
         crashes=crashes,
         runs=runs,
-        daemon_by_crashing={"bad": "entry-1"},
+        daemon_by_crash_attempt={"bad": "entry-1"},
         faults=list(faults),
     )
 
 
 def test_a_request_that_goes_on_crashing_targets_is_found():
-    assert _find_crashing(4) == {"what crashes targets is stopped"}
+    assert _find_crashing(4) == {"requests that crash targets are stopped"}
     assert _find_crashing(3) == set()
 
 
-def test_a_daemon_that_is_out_of_touch_may_not_know_what_crashes_targets():
+def test_a_daemon_without_contact_may_not_know_what_crashes_targets():
     paused = records.Fault("pause", records.Area.DAEMON, "entry-1", 13.0, 15.9)
     elsewhere = records.Fault("pause", records.Area.DAEMON, "entry-2", 13.0, 15.9)
     assert _find_crashing(4, paused) == set()
-    assert _find_crashing(4, elsewhere) == {"what crashes targets is stopped"}
+    assert _find_crashing(4, elsewhere) == {"requests that crash targets are stopped"}
--- a/tests/support/relays.py
+++ b/tests/support/relays.py
@@ -1,4 +1,4 @@
-"""A relay in this process, with decision logic and a clock that tests hold."""
+"""A relay in the test's own process, with the test's decision logic and clock."""
 
 import contextlib
 import dataclasses
@@ -16,8 +16,9 @@
 from sesamespindle.decide import events, gateway, kvstores, lease, quarantine, rollout
 from sesamespindle.platform import dialect
 
-# What a host without the platform's store and peers can't carry out.
-_LEFT_OUT = (
+# Commands that need the platform's store or peers. This relay has neither, so it
+# ignores them.
+_IGNORED_COMMANDS = (
     gateway.BecameReady,
     kvstores.FollowStores,
     lease.ReadLease,
@@ -30,13 +31,13 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Served:
-    """A relay that takes requests.
+class RunningRelay:
+    """A running relay.
 
     Attributes
     ----------
     address : str
-        Where callers connect.
+        The host and port at which callers connect.
     """
 
     relay: relay.Relay
@@ -44,7 +45,7 @@
     address: str
 
     def tick(self):
-        """Have the decision logic see that time has passed."""
+        """Send the decision logic a tick, so that it acts on the passed time."""
         self.driver.feed(events.Tick())
 
     def url(self, path):
@@ -54,19 +55,21 @@
 
 @contextlib.asynccontextmanager
 async def serve(core, clock):
-    """Serve requests as a gateway's decision logic says; give a `Served`."""
+    """Run a relay with a gateway's decision logic, and yield it as a `RunningRelay`."""
     log = eventlog.EventLog("entry-1", eventlog.HybridClock(clock), 1)
-    driving = driver.Driver(core, clock, log)
-    for kind in _LEFT_OUT:
-        driving.on(kind, lambda command: None)
-    async with connections.make_session() as session, lifeprobe.LifeProbe(driving):
-        made = relay.Relay(driving, dialect.Dialect(), session, measures.Measures())
-        server = aiohttp.web.Server(made.handle, handler_cancellation=True)
+    relay_driver = driver.Driver(core, clock, log)
+    for kind in _IGNORED_COMMANDS:
+        relay_driver.on(kind, lambda command: None)
+    async with connections.make_session() as session, lifeprobe.LifeProbe(relay_driver):
+        served_relay = relay.Relay(
+            relay_driver, dialect.Dialect(), session, measures.Measures()
+        )
+        server = aiohttp.web.Server(served_relay.handle, handler_cancellation=True)
         runner = aiohttp.web.ServerRunner(server, shutdown_timeout=0.1)
         await runner.setup()
         await aiohttp.web.TCPSite(runner, "127.0.0.1", 0).start()
         host, port = runner.addresses[0]
         try:
-            yield Served(made, driving, f"{host}:{port}")
+            yield RunningRelay(served_relay, relay_driver, f"{host}:{port}")
         finally:
             await runner.cleanup()
--- a/tests/support/soak/targets.py
+++ b/tests/support/soak/targets.py
@@ -1,4 +1,4 @@
-"""Targets that run requests, record each run, and fail in their own ways."""
+"""Targets that run requests, record each run, and fail in some of them."""
 
 import asyncio
 import contextlib
@@ -9,68 +9,78 @@
 
 from soak import records
 
-# How long an engine loads new weights, in seconds, and turns requests away.
+# How long an engine loads new weights, in seconds; meanwhile it refuses prompts.
 _LOAD_SECONDS = 0.4
-# An order that gets no answer is carried out so many seconds later.
+# The bounds of the delay after which an order without an answer is carried out.
 _ORDER_DELAY_SECONDS = (2.0, 12.0)
 _EVENT_SECONDS = 0.03
-# One in so many streams is long: begun 2.5 s after the SIGTERM of its host or
-# later, it outlasts the rest of the 8 s that the host has. A target that leaves
-# serves on for 8 s, of which it may be sent requests for 2.5 s.
+# One in _LONG_ONE_IN streams is long: if it begins 2.5 s or more after the SIGTERM of
+# its host, it outlasts the host's 8 s of grace. It fits into the time of a leaving
+# target, which serves for 8 s more and may be sent requests in the first 2.5 s of them.
 _LONG_ONE_IN = 5
 _LONG_EVENTS, _LONG_EVENT_SECONDS = 12, 0.45
 _WORK_SECONDS = 0.02
 _FEWEST_EVENTS, _EVENT_CHOICES = 3, 8
-# An engine that runs a request with this body crashes.
+# The body of a prompt that crashes the engine which runs it.
 CRASHING = b"crashes engines"
 
 
-def event_count(request):
-    """Return how many events the answer to a request has."""
-    if _is_long(request):
+def event_count(request_id):
+    """Return the number of events in the answer to a request."""
+    if _is_long(request_id):
         return _LONG_EVENTS
-    return _FEWEST_EVENTS + sum(request.encode()) % _EVENT_CHOICES
+    return _FEWEST_EVENTS + sum(request_id.encode()) % _EVENT_CHOICES
 
 
-def event_seconds(request):
-    """Return how long each event of the answer to a request takes."""
-    return _LONG_EVENT_SECONDS if _is_long(request) else _EVENT_SECONDS
+def event_seconds(request_id):
+    """Return the seconds that each event of the answer to a request takes."""
+    return _LONG_EVENT_SECONDS if _is_long(request_id) else _EVENT_SECONDS
 
 
-def _is_long(request):
-    return zlib.crc32(request.encode()) % _LONG_ONE_IN == 0
+def _is_long(request_id):
+    return zlib.crc32(request_id.encode()) % _LONG_ONE_IN == 0
 
 
-def event(request, number):
+def event(request_id, number):
     """Return one event of the answer to a request."""
-    return f"id: {number}\ndata: {request}/{number}\n\n".encode()
+    return f"id: {number}\ndata: {request_id}/{number}\n\n".encode()
 
 
-def plain_answer(target, request):
+def plain_answer(target, request_id):
     """Return the body of a plain service's answer."""
-    return f"{target} ran {request}".encode()
+    return f"{target} ran {request_id}".encode()
 
 
 class Target(standins.Target):
-    """A plain service or an engine.
+    """A target of the plain service, or an engine.
 
     Parameters
     ----------
     listed_address : str
-        Where daemons reach it, by way of a proxy.
+        The address of the proxy through which daemons reach it.
     now : callable
         The soak's clock.
     source : random.Random
-        Chooses which runs fail.
+        Decides which runs fail.
 
     Attributes
     ----------
+    weights : int
+        The weight version that an engine runs.
+    failing_share : float
+        The share of plain requests that it answers with status 500.
+    answers_lost_share : float
+        The share of plain answers, or of events of streams, at which it breaks the
+        connection.
     late_orders_share : float
-        Of the orders, how many get no answer and are carried out later.
+        The share of orders that get no answer and are carried out later.
     order_source : random.Random
-        Chooses these orders and when they are carried out.
-    crashed_by : callable
-        Called with the target and a path when a request crashes it.
+        Decides which orders these are, and when they are carried out.
+    on_crashing_request : callable
+        Called with the target and the request's path when a request crashes it.
+    orders_taken : int
+        The number of orders carried out in this incarnation, the ``Seq`` of its
+        report. An order that expects another number is refused.
     """
 
     def __init__(self, name, address, service, listed_address, journal, now, source):
@@ -86,7 +96,7 @@
         self._now = now
         self._random = source
         self.order_source = source
-        self.crashed_by = None
+        self.on_crashing_request = None
 
     def entry(self, state="ready"):
         """Return the record under which the target is listed."""
@@ -97,7 +107,7 @@
         }
 
     def crash(self):
-        """Break all connections and take no more, as a dead process does."""
+        """Break all connections and accept no more, as a dead process does."""
         self._server.close()
         for writer in self.writers:
             writer.transport.abort()
@@ -120,41 +130,47 @@
         models = [{"Name": "m", "Version": self.weights}]
         value = {
             "Models": models,
-            "Busy": self._loads(),
+            "Busy": self._is_loading(),
             "Seq": self.orders_taken,
             "born": self.born,
         }
         return json.dumps(value).encode()
 
     def begin_life(self):
-        """Start anew under the same name, with the weights that it had."""
+        """Start a new incarnation under the same name, with the same weights."""
         super().begin_life()
         self.orders_taken = 0
         self._loading_until = 0.0
 
-    def _loads(self):
+    def _is_loading(self):
         return self._now() < self._loading_until
 
     async def _answer_order(self, order, headers, writer):
-        """Carry an order out, at once or late and without an answer."""
+        """Carry an order out at once and answer it, or late and without an answer.
+
+        A late order is dropped if the target starts a new incarnation meanwhile.
+        """
         delay = 0.0
         if self.order_source.random() < self.late_orders_share:
             delay = self.order_source.uniform(*_ORDER_DELAY_SECONDS)
-        given_by = order["Holder"], order["Fence"]
-        made = records.Order(self.name, self._now(), *given_by, delay)
-        self._journal.orders.append(made)
+        lease = order["Holder"], order["Fence"]
+        record = records.Order(self.name, self._now(), *lease, delay)
+        self._journal.orders.append(record)
         if not delay:
-            status = self._take_order(order)
+            status = self._carry_out_order(order)
             writer.write(standins.make_answer(status, headers, {}))
             return
         born = self.born
         await asyncio.sleep(delay)
         if self.born == born:
-            self._take_order(order)
+            self._carry_out_order(order)
         writer.transport.abort()
 
-    def _take_order(self, order):
-        if self._loads() or order.get("Expect", self.orders_taken) != self.orders_taken:
+    def _carry_out_order(self, order):
+        if (
+            self._is_loading()
+            or order.get("Expect", self.orders_taken) != self.orders_taken
+        ):
             return 409
         if order["Version"] <= self.weights:
             return 200
@@ -181,22 +197,22 @@
         )
 
     async def _run_plain(self, headers, writer):
-        fails = self._random.random() < self.failing_share
-        status = 500 if fails else 200
+        is_failing = self._random.random() < self.failing_share
+        status = 500 if is_failing else 200
         self._record(headers, status)
         await asyncio.sleep(_WORK_SECONDS)
         if self._random.random() < self.answers_lost_share:
             writer.transport.abort()
             return
-        request = headers["x-attempt-id"]
-        body = b"failed" if fails else plain_answer(self.name, request)
+        request_id = headers["x-attempt-id"]
+        body = b"failed" if is_failing else plain_answer(self.name, request_id)
         stamp = {"X-Server-Stamp": self.name}
         answer = standins.make_answer(status, headers, stamp, body)
         writer.write(answer + self.second_answer)
 
     async def _run_prompt(self, headers, writer):
         expected = headers.get("x-expect-version")
-        if self._loads():
+        if self._is_loading():
             writer.write(
                 standins.make_answer(503, headers, {"X-Not-Executed": "loading"})
             )
@@ -214,24 +230,25 @@
             salt=headers.get("x-cache-salt", ""),
         )
         if self.body == CRASHING:
-            self.crashed_by(self, headers[":path"])
+            self.on_crashing_request(self, headers[":path"])
             return
         with contextlib.suppress(ConnectionError):
             await self._stream_events(headers, writer, first)
 
     async def _stream_events(self, headers, writer, first):
-        request = headers["x-attempt-id"]
+        request_id = headers["x-attempt-id"]
         writer.write(
             b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
             b"X-Server-Stamp: " + self.name.encode() + b"\r\n"
             b"X-Weight-Versions: %d\r\nTransfer-Encoding: chunked\r\n"
-            b"X-Attempt-Id: %s\r\n\r\n" % (self.weights, request.encode())
+            b"X-Attempt-Id: %s\r\n\r\n" % (self.weights, request_id.encode())
         )
-        for number in range(first, event_count(request) + 1):
-            await asyncio.sleep(event_seconds(request))
-            text = event(request, number)
+        for number in range(first, event_count(request_id) + 1):
+            await asyncio.sleep(event_seconds(request_id))
+            text = event(request_id, number)
             if self._random.random() < self.answers_lost_share:
-                # It dies in the middle of an event, which must not be passed on.
+                # The connection breaks in the middle of an event. The daemon must not
+                # pass the incomplete event on.
                 half = text[: len(text) // 2]
                 writer.write(b"%x\r\n%s\r\n" % (len(half), half))
                 await writer.drain()
--- a/tests/support/standins.py
+++ b/tests/support/standins.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for the platform's store and its targets, and a real daemon."""
+"""Stand-ins for the platform's store and targets, and a real daemon process."""
 
 import asyncio
 import collections
@@ -13,15 +13,40 @@
 import aiohttp
 import aiohttp.web
 
-# Waits are for events; this only ends a test whose event never comes.
+# Waits end when their condition holds; this time-out only ends a test in which that
+# never happens.
 PATIENCE_SECONDS = 15.0
-# For callers, readiness, the directory and peers.
+# One port each for callers, readiness probes, the directory and peers.
 _DAEMON_PORTS = 4
 KEY = "key-of-acme"
 
 
 class Store:
-    """Objects with revisions, lists, watches and conditional writes."""
+    """A stand-in for the platform's object store.
+
+    It serves objects with revisions, lists, watches and conditional writes, and fails
+    as its attributes say.
+
+    Attributes
+    ----------
+    turned_away : set of str
+        IP addresses of clients whose connections it aborts.
+    is_away : bool
+        Whether it aborts the connections of all clients.
+    speaks_nonsense : bool
+        Whether it answers with JSON that isn't of the expected form.
+    loses_answers : bool
+        Whether it carries out writes and then aborts the connection instead of
+        answering.
+    delay_seconds : float
+        How long it waits before it handles a request.
+    is_stale : bool
+        Whether lists of the configuration show it as it was before its last change.
+    history_from : int
+        The oldest revision from which a watch may start; older ones get status 410.
+    waiting_by_kind : collections.Counter
+        The number of watches that wait now, by kind of object.
+    """
 
     def __init__(self, address):
         self.address = address
@@ -30,11 +55,9 @@
         self.speaks_nonsense = False
         self.loses_answers = False
         self.delay_seconds = 0.0
-        # Lists show objects as they were before their last change.
         self.is_stale = False
         self._objects_before = {}
         self.history_from = 0
-        # Watches that wait now, by kind.
         self.waiting_by_kind = collections.Counter()
         self._revision = 1
         self._objects = {}
@@ -56,7 +79,7 @@
         await self._runner.cleanup()
 
     async def put(self, kind, name, spec):
-        """Write an object as the operator or a target does."""
+        """Write an object without a condition, as the operator or a target does."""
         await self._change(kind, name, spec, False)
 
     async def remove(self, kind, name):
@@ -79,11 +102,11 @@
         return item
 
     def forget_history(self):
-        """Drop all changes, so that watches have to list again."""
+        """Drop all past changes, so that watches get status 410 and list again."""
         self._changes.clear()
         self.history_from = self._revision
 
-    async def _check(self, request):
+    async def _delay_or_fail(self, request):
         await asyncio.sleep(self.delay_seconds)
         if self.is_away or request.remote in self.turned_away:
             if request.transport is not None:
@@ -93,26 +116,28 @@
             raise aiohttp.web.HTTPOk(text='{"items": 7, "Events": [{}]}')
 
     async def _serve_kind(self, request):
-        await self._check(request)
+        await self._delay_or_fail(request)
         kind = request.match_info["kind"]
         if request.method == "POST":
             body = await request.json()
             name = body["Metadata"]["Name"]
             if (kind, name) in self._objects:
                 return _json(self._objects[kind, name], 409)
-            made = await self._change(kind, name, body["Spec"], False)
-            self._lose_answer(request)
-            return _json(made, 201)
+            created = await self._change(kind, name, body["Spec"], False)
+            self._abort_if_losing_answers(request)
+            return _json(created, 201)
         if "Watch" in request.query:
             return await self._watch(request, kind)
-        shown = self._objects
+        objects = self._objects
         if self.is_stale and kind == "config":
-            shown = self._objects_before
-        items = [item for (at, _), item in shown.items() if at == kind]
+            objects = self._objects_before
+        items = [
+            item for (object_kind, _), item in objects.items() if object_kind == kind
+        ]
         return _json({"items": items, "MorePages": False, "CurrentRev": self._revision})
 
-    def _lose_answer(self, request):
-        """Break the connection of a write that was done, if answers get lost."""
+    def _abort_if_losing_answers(self, request):
+        """Abort the connection after a completed write if `loses_answers` is set."""
         if self.loses_answers and request.transport is not None:
             request.transport.abort()
 
@@ -121,11 +146,11 @@
         if since < self.history_from:
             return _json({}, 410)
 
-        def found():
+        def matching_events():
             return [
                 {"Object": item, "Deleted": deleted}
-                for revision, at, item, deleted in self._changes
-                if revision > since and at == kind
+                for revision, object_kind, item, deleted in self._changes
+                if revision > since and object_kind == kind
             ]
 
         self.waiting_by_kind[kind] += 1
@@ -134,30 +159,30 @@
                 asyncio.timeout(int(request.query["WaitMs"]) / 1000),
                 self._changed,
             ):
-                await self._changed.wait_for(found)
+                await self._changed.wait_for(matching_events)
         except TimeoutError:
             pass
         finally:
             self.waiting_by_kind[kind] -= 1
-        await self._check(request)
-        return _json({"Events": found(), "CurrentRev": self._revision})
+        await self._delay_or_fail(request)
+        return _json({"Events": matching_events(), "CurrentRev": self._revision})
 
     async def _serve_one(self, request):
-        await self._check(request)
+        await self._delay_or_fail(request)
         key = request.match_info["kind"], request.match_info["name"]
-        known = self._objects.get(key)
-        if known is None:
+        current = self._objects.get(key)
+        if current is None:
             return _json({}, 404)
         if request.method == "PUT":
             body = await request.json()
             expected = body["Metadata"].get("Revision")
-            if expected is not None and expected != known["Metadata"]["Revision"]:
-                return _json(known, 409)
-            known = await self._change(*key, body["Spec"], False)
-            self._lose_answer(request)
+            if expected is not None and expected != current["Metadata"]["Revision"]:
+                return _json(current, 409)
+            current = await self._change(*key, body["Spec"], False)
+            self._abort_if_losing_answers(request)
         elif request.method == "DELETE":
-            await self._change(*key, known["Spec"], True)
-        return _json(known)
+            await self._change(*key, current["Spec"], True)
+        return _json(current)
 
 
 def _json(value, status=200):
@@ -165,34 +190,52 @@
 
 
 class Target:
-    """A target that speaks HTTP by hand, so that it can misbehave.
+    """A target that writes HTTP byte by byte, so that it can break the protocol.
 
     Attributes
     ----------
     runs : list of dict
-        The headers of every request that it ran, lower-case.
+        The headers of every request that it ran, with names in lower case.
+    began : asyncio.Event
+        Set once it runs a request.
+    refused : int
+        The number of requests refused because they name another target.
+    status : int
+        The status of answers by the plain service.
+    body : bytes
+        The body of the latest request.
+    readers, writers : list
+        The streams of the current incarnation's connections, oldest first.
     second_answer : bytes
-        Sent after each answer, as bytes of no request.
+        Bytes sent after each answer, which belong to no request.
     is_mute : bool
-        Whether it runs requests and never answers.
+        Whether it runs requests without ever answering them.
+    loses_answers : bool
+        Whether it runs requests and then aborts the connection instead of answering.
+    unframed_bytes : int
+        If not 0, the plain service answers with that many bytes and without a length.
+    resets_unframed : bool
+        Whether such an answer ends with a TCP reset instead of an orderly close.
     born : int or None
-        The millisecond of its start, as its record tells it; None to not tell.
+        When its incarnation started, in ms since 1970, as its record states it; None
+        to leave it out of the record.
     release : asyncio.Event
-        Streams go on to their second event once it is set.
+        Streams wait after their first event until it is set.
     admits : asyncio.Event
-        Requests wait in its queue until it is set. One whose connection closes
-        before is dropped, and doesn't run.
+        Requests wait in the target's queue until it is set. A request whose
+        connection closes before that is dropped and doesn't run.
     queued : asyncio.Event
-        Set once a request waits.
+        Set once a request waits in the queue.
     dropped : asyncio.Event
-        Set once a request was dropped.
+        Set once a request was dropped from the queue.
     crashed_by : bytes
-        A request whose body begins so crashes it as soon as it runs; none if empty.
+        A request whose body begins with these bytes crashes the target as soon as
+        it runs; if empty, no request does.
     crashes : list of float
-        When it has crashed, in seconds of the event loop.
+        The times of its crashes, in seconds of the event loop's clock.
     turns_away : bool
-        Whether it says of all requests that it is full, with a body that comes
-        once `release` is set.
+        Whether it refuses all requests with status 503 as overloaded. The body of
+        that answer is sent once `release` is set.
     """
 
     def __init__(self, name, address, service="desk"):
@@ -231,12 +274,12 @@
         self._server.close()
 
     async def listen(self):
-        """Take requests at its address."""
+        """Listen for requests at its address."""
         host, port = self.address.split(":")
         self._server = await asyncio.start_server(self._serve, host, int(port))
 
     def crash(self):
-        """End as a process does that crashes: nobody listens any more."""
+        """Stop listening and break all connections, as a crashed process does."""
         self.crashes.append(asyncio.get_running_loop().time())
         self._server.close()
         self.begin_life()
@@ -256,13 +299,13 @@
         } | ({"born": self.born} if self.born is not None else {})
 
     def begin_life(self, is_seen=True):
-        """Start anew under the same name.
+        """Start a new incarnation under the same name.
 
         Parameters
         ----------
         is_seen : bool
-            Whether connections break at once. After a loss of power they do only
-            when the next request comes, which is not run.
+            Whether open connections break at once. If not, as after a loss of power,
+            each breaks when its next request comes, and that request isn't run.
         """
         for writer in self.writers if is_seen else ():
             writer.transport.abort()
@@ -288,7 +331,7 @@
         writer.close()
 
     async def _admit(self, reader):
-        """Wait for a place; return False if the connection closes before."""
+        """Wait in the queue; return False if the connection closes meanwhile."""
         if self.admits.is_set():
             return True
         self.queued.set()
@@ -305,7 +348,7 @@
             writer.write(make_answer(421, headers, {"X-Instance-Id": self.name}))
             return
         if self.turns_away:
-            await self._turn_away(headers, writer)
+            await self._refuse_as_full(headers, writer)
             return
         self.runs.append(headers)
         self.began.set()
@@ -329,7 +372,7 @@
             make_answer(self.status, headers, stamp, body) + self.second_answer
         )
 
-    async def _turn_away(self, headers, writer):
+    async def _refuse_as_full(self, headers, writer):
         body = b"full"
         answer = make_answer(503, headers, {"X-Not-Executed": "1"}, body)
         writer.write(answer.removesuffix(body))
@@ -337,7 +380,7 @@
         writer.write(body)
 
     async def _answer_unframed(self, headers, writer):
-        """Answer without a length, and end with the connection."""
+        """Answer without a length, so that the end of the connection ends the body."""
         attempt = headers["x-attempt-id"].encode()
         writer.write(
             b"HTTP/1.1 200 OK\r\nX-Server-Stamp: s\r\nConnection: close\r\n"
@@ -346,8 +389,8 @@
         await writer.drain()
         if self.resets_unframed:
             linger = struct.pack("ii", 1, 0)
-            raw = writer.get_extra_info("socket")
-            raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
+            raw_socket = writer.get_extra_info("socket")
+            raw_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
             await asyncio.sleep(0.05)
             writer.transport.abort()
             return
@@ -370,7 +413,7 @@
 
 
 async def _read_body(reader, headers):
-    """Read a body of either framing."""
+    """Return a body, whether chunked or with a length."""
     if headers.get("transfer-encoding") != "chunked":
         return await reader.readexactly(int(headers.get("content-length", 0)))
     body = b""
@@ -383,7 +426,7 @@
 
 
 def parse_head(head):
-    """Return the headers, lower-case, and the path under ``:path``."""
+    """Return headers by their names in lower case, and the path under ``:path``."""
     first, *lines = head.decode().split("\r\n")
     pairs = (line.partition(":") for line in lines if line)
     headers = {name.lower(): value.strip() for name, _, value in pairs}
@@ -391,7 +434,7 @@
 
 
 def make_answer(status, headers, extra, body=b""):
-    """Return an answer that echoes the request's id."""
+    """Return the bytes of an answer that repeats the request's id."""
     lines = [
         f"HTTP/1.1 {status} X",
         f"X-Attempt-Id: {headers.get('x-attempt-id', '-')}",
@@ -402,7 +445,15 @@
 
 
 def make_manifest(version=1, keys=(KEY,), **changed):
-    """Return a manifest with a plain service and an engine service."""
+    """Return a manifest with a plain service and an engine service.
+
+    Parameters
+    ----------
+    keys : sequence of str
+        The API keys of the one account.
+    **changed
+        Top-level fields that replace those of the usual manifest.
+    """
 
     def route(prefix, kind, service, **more):
         return {
@@ -438,14 +489,14 @@
 
 
 class Daemon:
-    """A real daemon, as a process of its own.
+    """A real daemon in its own process.
 
     Parameters
     ----------
     grace : int
-        Seconds from SIGTERM in which the platform lets the process be.
+        Seconds that the platform gives the process to exit after SIGTERM.
     data_centres : tuple of str
-        All there are, its own first.
+        All data centres; the daemon's own is the first.
     """
 
     def __init__(
@@ -466,8 +517,8 @@
         self._store_address = store_address
         self._seeds = seeds
         self._grace = grace
-        self._child = None
-        self._settings = None
+        self._process = None
+        self._settings_path = None
         self.log = None
 
     async def __aenter__(self):
@@ -484,27 +535,27 @@
         )
         with tempfile.NamedTemporaryFile("w", delete=False) as settings:
             settings.write(text)
-        self._settings = settings.name
+        self._settings_path = settings.name
         self.log = tempfile.TemporaryFile()  # noqa: SIM115
         await self.start()
         return self
 
     async def start(self):
-        """Start the process, also once more after its end."""
-        self._child = await asyncio.create_subprocess_exec(
+        """Start the process, the first time or again after it has exited."""
+        self._process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
             "sesamespindle.platform.launch",
             stdout=self.log,
             stderr=self.log,
-            env=os.environ | {"SESAMESPINDLE_NODE_FILE": self._settings},
+            env=os.environ | {"SESAMESPINDLE_NODE_FILE": self._settings_path},
         )
 
     async def __aexit__(self, *exc_info):
         if self.is_running:
-            self._child.kill()
-        await self._child.wait()
-        os.unlink(self._settings)
+            self._process.kill()
+        await self._process.wait()
+        os.unlink(self._settings_path)
         self.log.close()
 
     @property
@@ -517,11 +568,11 @@
         return f"http://{self.ip}:{self._ports[0]}{path}"
 
     def ready_url(self):
-        """Return where the daemon says whether it is ready."""
+        """Return the URL of the readiness probe."""
         return f"http://{self.ip}:{self._ports[1]}/v1/ready"
 
     async def lets_probes_in(self):
-        """Return whether the port of `ready_url` is open."""
+        """Return whether the port of the readiness probe accepts connections."""
         try:
             _, writer = await asyncio.open_connection(self.ip, self._ports[1])
         except ConnectionRefusedError:
@@ -530,48 +581,49 @@
         return True
 
     def directory_url(self, data_centre="dc-1"):
-        """Return where callers of a data centre ask for addresses."""
+        """Return the URL at which callers of a data centre look up host addresses."""
         query = f"Name=a.example&Zone={data_centre}"
         return f"http://{self.ip}:{self._ports[2]}/v1/resolve?{query}"
 
     @property
     def is_running(self):
-        """Whether the process has not ended."""
-        return self._child.returncode is None
+        """Whether the process runs."""
+        return self._process.returncode is None
 
     def send_signal(self, number):
         """Send a signal, if the process still runs."""
         if self.is_running:
-            self._child.send_signal(number)
+            self._process.send_signal(number)
 
     def terminate(self):
         """Send SIGTERM."""
         self.send_signal(signal.SIGTERM)
 
     async def ended(self):
-        """Return the exit code, once there is one."""
-        return await self._child.wait()
+        """Wait until the process exits, and return its exit code."""
+        return await self._process.wait()
 
     def lines(self):
-        """Return what the daemon has logged so far."""
+        """Return the lines that the daemon has logged so far."""
         size = os.fstat(self.log.fileno()).st_size
         return os.pread(self.log.fileno(), size, 0).decode().splitlines()
 
     def describe(self):
-        """Return whether the process runs, and what it logged last."""
-        state = "runs" if self.is_running else f"ended, {self._child.returncode}"
+        """Return whether the process runs, and the last 20 lines of its log."""
+        state = "runs" if self.is_running else f"exited with {self._process.returncode}"
         return "\n".join([f"{self.name} at {self.ip}: {state}", *self.lines()[-20:]])
 
 
 class World:
-    """A store, targets and daemons on loopback addresses of their own."""
+    """A store, targets and daemons, each at its own loopback address."""
 
     def __init__(self):
-        # Addresses of this process alone, so that test processes don't collide.
+        # The prefix contains bits of the process id, so that test processes that run
+        # side by side use different addresses.
         self._prefix = f"127.{os.getpid() >> 8 & 127}.{os.getpid() & 255}"
         self._stack = contextlib.AsyncExitStack()
         self._ports = None
-        self._hosts = 0
+        self._daemon_count = 0
         self.store = None
         self.session = None
         self.daemons = []
@@ -591,41 +643,46 @@
         await self._stack.aclose()
 
     async def add_target(self, name, service="desk", address=None):
-        """Start a target and list it."""
-        made = Target(name, address or self._address(), service)
-        await self._stack.enter_async_context(made)
-        await self.store.put("servers", name, made.entry())
-        self.target_by_name[name] = made
-        return made
+        """Start a target and list it in the store."""
+        target = Target(name, address or self._address(), service)
+        await self._stack.enter_async_context(target)
+        await self.store.put("servers", name, target.entry())
+        self.target_by_name[name] = target
+        return target
 
     async def bring_back(self, target):
-        """Start a crashed target again under its name, and list it."""
+        """Start a crashed target again under its name, and list it in the store."""
         await target.listen()
         await self.store.put("servers", target.name, target.entry())
 
     async def add_daemon(self, seeds=(), grace=8):
         """Start a daemon and wait until it is ready."""
-        made = await self.start_daemon(seeds, grace)
-        await self.until(lambda: self.is_ready(made))
-        return made
+        daemon = await self.start_daemon(seeds, grace)
+        await self.until(lambda: self.is_ready(daemon))
+        return daemon
 
     async def start_daemon(self, seeds=(), grace=8):
-        """Start a daemon, which still has to load."""
-        self._hosts += 1
-        ip = f"{self._prefix}.{self._hosts}"
-        made = Daemon(
-            f"entry-{self._hosts}", ip, self._ports, self.store.address, seeds, grace
+        """Start a daemon without waiting until it is ready."""
+        self._daemon_count += 1
+        ip = f"{self._prefix}.{self._daemon_count}"
+        daemon = Daemon(
+            f"entry-{self._daemon_count}",
+            ip,
+            self._ports,
+            self.store.address,
+            seeds,
+            grace,
         )
-        await self._stack.enter_async_context(made)
-        self.daemons.append(made)
-        return made
+        await self._stack.enter_async_context(daemon)
+        self.daemons.append(daemon)
+        return daemon
 
     def next_ip(self):
-        """Return the address that the next daemon gets."""
-        return f"{self._prefix}.{self._hosts + 1}"
+        """Return the IP address that the next daemon gets."""
+        return f"{self._prefix}.{self._daemon_count + 1}"
 
     async def is_ready(self, daemon):
-        """Return whether a daemon says that it is ready."""
+        """Return whether a daemon's readiness probe succeeds."""
         return await status_of(daemon.ready_url()) == 200
 
     async def ask(
@@ -643,37 +700,44 @@
         ) as response:
             return response.status, response.headers, await response.read()
 
-    async def until(self, holds):
-        """Wait until an asynchronous condition holds."""
-        await until(holds)
+    async def until(self, condition):
+        """Wait until an asynchronous condition holds, as the function `until`."""
+        await until(condition)
 
     def _address(self):
         return f"127.0.0.1:{free_ports(1)[0]}"
 
 
 def free_ports(count):
-    """Return ports of the loopback device that are free, each another one.
+    """Return distinct free ports of the loopback device.
 
-    Guards against a daemon that is told one port twice, and ends: ports asked for
-    one after the other were the same one in one of 1,000 sets of four.
+    Guards against a daemon that gets the same port for two purposes and exits at its
+    start: ports that are reserved one at a time repeat in 1 of 1,000 sets of four.
+    The guard holds because all ports are open at once here before any is closed.
     """
     with contextlib.ExitStack() as stack:
-        opened = [
+        sockets = [
             stack.enter_context(socket.create_server(("127.0.0.1", 0)))
             for _ in range(count)
         ]
-        return [listening.getsockname()[1] for listening in opened]
+        return [opened.getsockname()[1] for opened in sockets]
+
 
+async def until(condition):
+    """Wait until an asynchronous condition holds.
 
-async def until(holds):
-    """Wait until an asynchronous condition holds."""
+    Raises
+    ------
+    TimeoutError
+        If it doesn't hold within `PATIENCE_SECONDS`.
+    """
     async with asyncio.timeout(PATIENCE_SECONDS):
-        while not await holds():
+        while not await condition():
             await asyncio.sleep(0.02)
 
 
 async def status_of(url):
-    """Return the status of a GET, or None where nobody answers."""
+    """Return the status of a GET, or None if the connection fails."""
     try:
         async with aiohttp.ClientSession() as session, session.get(url) as response:
             return response.status
