--- a/tests/promises/test_accounts_apart.py
+++ b/tests/promises/test_accounts_apart.py
@@ -1,4 +1,9 @@
-"""Promise 3: one account's prompts and answers are nothing to another."""
+"""Isolation of client accounts from each other.
+
+Without it, one account could read another's answers, learn its prompts from the speed
+of the KV cache, use its tokens, or get its own prompts refused because of another's
+load.
+"""
 
 import asyncio
 
@@ -39,13 +44,13 @@
     seen["repeat"] = go(send(running, "ministry-of-health", LONG_PROMPT))
 
 
-@pytest_bdd.then("the second reused no token of it")
+@pytest_bdd.then("the second prompt reuses no cached token")
 def nothing_reused(seen):
     assert cached(seen["first"]) == 0
     assert cached(seen["second"]) == 0
 
 
-@pytest_bdd.then("the second's own repeat reused it")
+@pytest_bdd.then("a repeat of the second prompt reuses its cached tokens")
 def own_reused(seen):
     assert cached(seen["repeat"]) > 1000
 
@@ -90,7 +95,7 @@
 
 
 @pytest_bdd.then(
-    pytest_bdd.parsers.parse("it gets the answer that an unknown {thing} gets")
+    pytest_bdd.parsers.parse("it gets the same answer as for an unknown {thing}")
 )
 def same_as_unknown(seen, thing):
     assert seen["stolen"].status == seen["unknown"].status == 404
@@ -125,7 +130,7 @@
         assert "Idempotent-Replayed" not in reply.headers
 
 
-@pytest_bdd.when("a caller asks for the time line with its own key")
+@pytest_bdd.when("a caller requests the timeline with its own key")
 def ask_timeline(running, go, seen):
     admin_url = running.process_by_name["entry-1"].announced["admin_url"]
     asker = caller_of(running, "interpreters")
@@ -166,7 +171,7 @@
     assert max(most) <= 8
 
 
-@pytest_bdd.then("every refused prompt is told when to come back")
+@pytest_bdd.then("every refused prompt is told when to retry")
 def told_when(seen):
     refused = [reply for reply in seen["flood"] if reply.status != 200]
     assert refused
