--- a/tests/promises/test_at_most_once.py
+++ b/tests/promises/test_at_most_once.py
@@ -1,4 +1,8 @@
-"""Promise 1: "not run" is true, and no booking runs twice."""
+"""A call runs at most once, and a caller who is told "not run" can rely on it.
+
+A retry after a broken connection, a killed entry or a lost answer could book twice, or
+a caller could be told "not run" about a booking that ran.
+"""
 
 import asyncio
 import itertools
@@ -35,7 +39,7 @@
 
 
 class Booking:
-    """One booking under test: its reference, its key and what came of it."""
+    """One booking under test: its reference, its key and the replies to it."""
 
     def __init__(self, running):
         self.running = running
@@ -137,7 +141,7 @@
     async def run():
         before = await booking.claims()
         booking.reply = await booking.send()
-        # The claim and its settlement.
+        # Two writes count as claims: the claim itself and its settlement.
         await booking.until_claimed(before + 1)
         await running.process_by_name["entry-1"].kill()
 
@@ -169,13 +173,15 @@
         assert (booking.repeat.code, booking.repeat.outcome) == (answer, "unknown")
 
 
-@pytest_bdd.then(pytest_bdd.parsers.parse("the service ran it {count:d} times"))
+@pytest_bdd.then(
+    pytest_bdd.parsers.parse("the service ran the booking {count:d} times")
+)
 def service_ran(booking, go, count):
     assert go(booking.runs()) == count
 
 
 @pytest_bdd.when(
-    "the entry is frozen past the call's deadline before it learns of its claim"
+    "the entry is frozen past the call's deadline before the claim is answered"
 )
 def freeze_past_deadline(running, booking, go):
     async def run():
@@ -222,7 +228,7 @@
     assert (booking.reply.code, booking.reply.outcome) == (code, outcome)
 
 
-@pytest_bdd.when("the platform loses its answer to the claim")
+@pytest_bdd.when("the platform's answer to the claim is lost")
 def lose_claim_answer(running, booking, go):
     async def run():
         await running.fault("platform", lose_answers=1)
@@ -231,7 +237,7 @@
     go(run())
 
 
-@pytest_bdd.when("the platform loses its answer to the claim and goes away")
+@pytest_bdd.when("the platform's answer to the claim is lost in an outage")
 def lose_claim_answer_and_go(running, booking, go):
     async def run():
         before = await booking.claims()
@@ -245,7 +251,7 @@
 
 
 @pytest_bdd.when(
-    "the platform is back and the booking is repeated until it is answered"
+    "the platform is available again and the booking is repeated until answered"
 )
 def repeat_until_answered(running, booking, go):
     async def run():
@@ -265,7 +271,7 @@
     assert (booking.reply.status, booking.reply.value["run"]) == (200, 1)
 
 
-@pytest_bdd.when("the same booking comes to all entries at once")
+@pytest_bdd.when("the same booking is sent to all entries at once")
 def send_everywhere(running, booking, go):
     async def run():
         sending = (booking.send(name) for name in running.entry_names)
@@ -274,7 +280,9 @@
     go(run())
 
 
-@pytest_bdd.then("every answer is the first run's, or says that it still runs")
+@pytest_bdd.then(
+    "every answer is the first run's or says that the booking is still running"
+)
 def answers_are_of_one_run(booking):
     assert len(booking.replies) == 3
     answered = [reply for reply in booking.replies if reply.status == 200]
@@ -287,7 +295,7 @@
 
 
 @pytest_bdd.when(
-    "the platform is away and a booking comes under a ticket and one by key"
+    "the platform is unavailable and one booking has a ticket and one a key"
 )
 def book_without_platform(running, booking, go):
     async def run():
@@ -301,7 +309,9 @@
     go(run())
 
 
-@pytest_bdd.then("the ticket's booking ran once, and the other was refused as not run")
+@pytest_bdd.then(
+    "the booking with the ticket ran once, and the other was refused as not run"
+)
 def ticket_ran(booking, go):
     (ticketed,) = booking.replies
     assert ticketed.reply.status == 200
@@ -311,7 +321,7 @@
     assert go(booking.runs()) == 0
 
 
-@pytest_bdd.when("a ticket's booking comes to all entries at once")
+@pytest_bdd.when("a booking with a ticket is sent to all entries at once")
 def send_ticket_everywhere(running, booking, go):
     async def run():
         booking.key = await booking.caller.ticket(running.url("entry-2"))
@@ -331,12 +341,14 @@
     booking.reply = await sending
 
 
-@pytest_bdd.when("the entry is killed while a ticket's booking runs")
+@pytest_bdd.when("the entry is killed while a booking with a ticket runs")
 def kill_during_ticket(running, booking, go):
     go(run_ticket_and_kill(running, booking))
 
 
-@pytest_bdd.when("the platform goes away and the entry that minted a ticket is killed")
+@pytest_bdd.when(
+    "the platform becomes unavailable and the entry that minted a ticket is killed"
+)
 def kill_during_outage(running, booking, go):
     async def run():
         await running.fault("platform", away=True)
@@ -346,7 +358,7 @@
 
 
 @pytest_bdd.then(
-    "a repeat of its booking is unknown, and a new ticket's booking runs once"
+    "a repeat of its booking is unknown, and a booking with a new ticket runs once"
 )
 def tickets_go_on(running, booking, go):
     async def run():
