--- a/tests/promises/test_configuration.py
+++ b/tests/promises/test_configuration.py
@@ -1,4 +1,8 @@
-"""Promise 6: an accepted configuration is in force everywhere, for good."""
+"""An accepted configuration becomes active at every entry and is never reverted.
+
+Concurrent changes, lost answers of the platform, stale reads and unreachable entries
+could lose a change, apply it twice or bring back an older revision.
+"""
 
 import asyncio
 import json
@@ -24,7 +28,11 @@
 
 
 class Operator:
-    """An operator with a folder of its own and the base it was written on."""
+    """An operator with its own folder of declarations.
+
+    The base file records the revision that the folder was checked out at, so that
+    `apply` can tell the operator's own changes from those of others.
+    """
 
     def __init__(self, running, root, name):
         self.running = running
@@ -35,7 +43,10 @@
         self.output = ""
 
     async def check_out(self):
-        """Get a folder that says what is in force now."""
+        """Copy the latest published folder and its base.
+
+        The first call publishes the example's folder and applies it.
+        """
         source = self.running.plan.folder / "latest"
         if not source.exists():
             shutil.copytree(self.running.plan.example, source)
@@ -48,7 +59,7 @@
             shutil.copy(self.base, latest)
 
     def change(self, account, concurrency):
-        """Set the concurrency of an account's contract."""
+        """Set the concurrency of an account's contract in the folder."""
         path = self.folder / "contracts.yaml"
         pattern = rf"(name: {account}\nconcurrency: )\d+"
         text, count = re.subn(pattern, rf"\g<1>{concurrency}", path.read_text())
@@ -61,7 +72,7 @@
         self.code, self.output = await self.running.cli(*arguments)
 
     def publish(self):
-        """Make this folder what others check out."""
+        """Publish this folder as the one that `check_out` copies from now on."""
         latest = self.running.plan.folder / "latest"
         shutil.rmtree(latest)
         shutil.copytree(self.folder, latest)
@@ -69,7 +80,7 @@
 
 
 async def in_force(running, account):
-    """Return the concurrency of an account at each entry."""
+    """Return the active concurrency limit of an account by entry name."""
     found = {}
     for name in running.entry_names:
         for row in (await running.status(name))["accounts"]:
@@ -115,7 +126,7 @@
     race(go, operators)
 
 
-@pytest_bdd.when("a second operator applies a folder that is behind the first's change")
+@pytest_bdd.when("a second operator applies a folder that lacks the first one's change")
 def apply_behind(operators, go):
     anna, bram = operators
     anna.change("training", 9)
@@ -124,7 +135,7 @@
     go(bram.apply())
 
 
-@pytest_bdd.then("both changes are accepted and in force everywhere")
+@pytest_bdd.then("both changes are accepted and active at every entry")
 def both_in_force(running, operators, go):
     anna, bram = operators
     assert [anna.code, bram.code] == [0, 0], anna.output + bram.output
@@ -144,7 +155,7 @@
     race(go, operators)
 
 
-@pytest_bdd.then("one is accepted, and the other is refused with the contract named")
+@pytest_bdd.then("one is accepted, and the refusal of the other names the contract")
 def one_is_refused(running, operators, go):
     codes = sorted(operator.code for operator in operators)
     assert codes == [0, 4]
@@ -156,18 +167,16 @@
     winner.publish()
 
 
-@pytest_bdd.when("two operators each take the rest of the pool's concurrency")
+@pytest_bdd.when("two operators each use up the rest of the pool's concurrency")
 def change_together(operators, go):
-    # The contracts that use the glossary assistant leave about 40 of its 400.
+    # The contracts for the glossary pool leave about 40 of its concurrency of 400.
     anna, bram = operators
     anna.change("ministry-of-health", 95)
     bram.change("ministry-of-justice", 80)
     race(go, operators)
 
 
-@pytest_bdd.then(
-    "one is accepted, and the other is refused with the pool's limit named"
-)
+@pytest_bdd.then("one is accepted, and the refusal of the other names the pool's limit")
 def together_is_refused(operators):
     codes = sorted(operator.code for operator in operators)
     assert codes == [0, 4], [operator.output for operator in operators]
@@ -176,7 +185,7 @@
     next(operator for operator in operators if operator.code == 0).publish()
 
 
-@pytest_bdd.when("an operator applies a change while the platform loses its answers")
+@pytest_bdd.when("an operator applies a change while the platform's answers are lost")
 def apply_with_lost_answers(running, operators, go):
     async def run():
         before = max((await revisions(running)).values())
@@ -189,7 +198,7 @@
     running.before = go(run())
 
 
-@pytest_bdd.then("the revision rose by one and the change is in force everywhere")
+@pytest_bdd.then("the revision rose by one and the change is active at every entry")
 def rose_by_one(running, operators, go):
     assert operators[0].code == 0, operators[0].output
     assert set(go(revisions(running)).values()) == {running.before + 1}
@@ -214,13 +223,13 @@
     go(run())
 
 
-@pytest_bdd.then("the change is in force at that entry too")
+@pytest_bdd.then("the change is active at that entry too")
 def in_force_there(running, go):
     go(until_everywhere(running, "interpreters", 91))
     assert "entry-9" in go(in_force(running, "interpreters"))
 
 
-@pytest_bdd.when("a change is applied and an entry starts while reads are old")
+@pytest_bdd.when("a change is applied and an entry starts while reads are stale")
 def start_with_old_reads(running, operators, go):
     async def run():
         operators[0].change("interpreters", 92)
@@ -263,13 +272,13 @@
     go(run())
 
 
-@pytest_bdd.then("every entry's revisions rise, to the latest")
+@pytest_bdd.then("every entry's revisions only rise, up to the latest")
 def revisions_rise(running, go):
     by_entry = {}
 
     async def all_told():
-        # The list of hosts lags, so an entry that has just started again is
-        # found at its new address only after a while.
+        # The platform's list of hosts lags behind, so a restarted entry becomes
+        # reachable at its new address only after a while.
         code, output = await running.cli("timeline", "--json")
         assert code == 0, output
         by_entry.clear()
