--- a/tests/features/limits.feature
+++ b/tests/features/limits.feature
@@ -1,16 +1,17 @@
-Feature: The system keeps its own limits
+Feature: Engines never run more prompts of an account than its contract allows
 
-  Scenario: Entries die and join under a rush
-    A customer sends more than its contract allows, over all entries, while
-    entries are killed and started anew. If a dead entry's slice were given out
-    before its streams ended, the engine would see more than the contract.
-    When training sends without end while entries are killed and replaced
+  Scenario: Entries are killed and replaced under overload
+    A customer sends more than its contract allows over all entries, while
+    entries are killed and replaced. If the slice of a dead entry were granted
+    again before that entry's streams ended, the engine would run more prompts
+    than the contract allows.
+    When training sends prompts continuously while entries are killed and replaced
     Then the engine never ran more than 8 of its prompts at once
-    And the account comes back to the full use of its contract
+    And the account can use its whole contract again
 
-  Scenario: Callers leave while others wait
-    Callers give up in the middle of their answers, and others of the account
-    have waited for their slots. An engine that had not yet noticed would run
-    the answers of both.
-    When callers of training leave before their answers are whole
+  Scenario: Callers disconnect while others wait
+    Callers disconnect in the middle of their answers, while others of the same
+    account wait for a slot. If a slot were passed on before the engine noticed
+    the disconnect, it would run both prompts at once.
+    When callers of training disconnect before their answers are whole
     Then the engine never ran more than 8 of its prompts at once
--- a/tests/promises/test_crashing_prompts.py
+++ b/tests/promises/test_crashing_prompts.py
@@ -1,4 +1,8 @@
-"""One prompt doesn't take the engines of all others."""
+"""A prompt that crashes engines is quarantined before it has crashed all of them.
+
+Each retry of such a prompt, at any entry, would crash one more engine, until none is
+left for other prompts.
+"""
 
 import asyncio
 
@@ -35,7 +39,7 @@
     return [await user.complete(url, "glossary", prompt, 5) for url in urls]
 
 
-@pytest_bdd.when("a prompt that crashes engines comes to every entry, again and again")
+@pytest_bdd.when("a prompt that crashes engines is sent to every entry repeatedly")
 def repeat(running, user, go, seen):
     async def run():
         for name in running.names_of("engine"):
@@ -50,7 +54,7 @@
     seen["replies"] = go(run())
 
 
-@pytest_bdd.then("three engines have ended")
+@pytest_bdd.then("three engines have crashed")
 def three_ended(running):
     assert len(living(running)) == ENGINES - 3
 
--- a/tests/promises/test_limits.py
+++ b/tests/promises/test_limits.py
@@ -1,4 +1,8 @@
-"""Promise 8: targets never see more of an account than its contract allows."""
+"""Engines never run more prompts of an account than its contract allows.
+
+Entries share an account's limit in slices. A slice that is granted again too early, or
+a slot that is reused too early, lets the engine run more prompts than the limit.
+"""
 
 import asyncio
 import contextlib
@@ -15,7 +19,8 @@
 LIMIT = 8
 CALLERS = 24
 ENGINE = "glossary-1"
-# Prompts that are sent and left before the engine's count is read.
+# The engine's counts are read after it has received this many prompts whose callers
+# disconnect early.
 LEFT = 150
 
 
@@ -32,7 +37,7 @@
 
 
 async def send_without_end(running, numbers):
-    """Send prompts one after the other, each over the next entry."""
+    """Send one prompt after another, each to the next entry, until cancelled."""
     user = caller.Caller(running.session, fleet.demo_key(ACCOUNT))
     while True:
         number = next(numbers)
@@ -49,7 +54,9 @@
     await running.until(is_full)
 
 
-@pytest_bdd.when("training sends without end while entries are killed and replaced")
+@pytest_bdd.when(
+    "training sends prompts continuously while entries are killed and replaced"
+)
 def rush(running, go, seen):
     async def run():
         numbers = itertools.count()
@@ -73,7 +80,7 @@
 
 
 async def send_and_leave(running, numbers):
-    """Send prompts one after the other, and leave in the middle of each answer."""
+    """Send one prompt after another and disconnect during each answer."""
     user = caller.Caller(running.session, fleet.demo_key(ACCOUNT))
     while True:
         number = next(numbers)
@@ -85,7 +92,7 @@
                 )
 
 
-@pytest_bdd.when("callers of training leave before their answers are whole")
+@pytest_bdd.when("callers of training disconnect before their answers are whole")
 def leave_early(running, go, seen):
     async def run():
         before = (await running.counts(ENGINE)).get("received", 0)
@@ -113,6 +120,6 @@
     assert seen["counts"]["most_by_account"][ACCOUNT] == LIMIT
 
 
-@pytest_bdd.then("the account comes back to the full use of its contract")
+@pytest_bdd.then("the account can use its whole contract again")
 def is_full(seen):
     assert seen["is_full"]
