--- a/tests/features/leaving.feature
+++ b/tests/features/leaving.feature
@@ -1,26 +1,27 @@
-Feature: Who leaves gets no new work and cuts nothing off
+Feature: A leaving engine or entry gets no new work and cuts off no answer
 
-  Scenario Outline: A leaving engine while <state>
-    An engine's host is taken out of service, and the list of hosts does not
-    say so. Prompts sent there would be cut off when it goes.
-    When an engine <says> that it leaves while <state>
-    Then soon no entry sends it new work
+  Scenario Outline: An engine leaves while <state>
+    An engine is taken out of service, but the entries can't see this in the
+    platform's list of hosts. Prompts that they still sent to the engine would
+    be cut off when it stops.
+    When an engine <leaves> while <state>
+    Then every entry soon stops sending it new work
 
     Examples:
-      | says           | state                |
-      | is drained     | the list is frozen   |
-      | says by itself | the platform is away |
+      | leaves                     | state                       |
+      | is drained by an operator  | the list of hosts is frozen |
+      | reports that it is leaving | the platform is unavailable |
 
   Scenario Outline: An entry is told to leave <how>
-    Callers read answers over an entry that is replaced. None may be cut off,
-    and nobody may be sent there any more.
-    When an entry with 20 answers under way is told to leave <how>
+    Callers stream answers through an entry that is being replaced. No answer
+    may be cut off, and no new caller may be sent to this entry.
+    When an entry with 20 answers in flight is told to leave <how>
     Then every answer is whole
-    And the other entries no longer name it
-    And it ended by itself
+    And the other entries no longer list it
+    And its process exits by itself
 
     Examples:
-      | how                        |
-      | once                       |
-      | twice                      |
-      | while the platform is away |
+      | how                               |
+      | once                              |
+      | twice                             |
+      | while the platform is unavailable |
--- a/tests/promises/test_leaving.py
+++ b/tests/promises/test_leaving.py
@@ -1,4 +1,8 @@
-"""Promise 7: a leaving target gets no new work, a leaving entry cuts off nothing."""
+"""A leaving engine gets no new work, and a leaving entry cuts off no answer.
+
+Entries that don't learn that an engine is leaving keep sending it prompts, which are
+cut off when it stops. An entry that exits too early cuts off the answers it forwards.
+"""
 
 import asyncio
 import signal
@@ -35,17 +39,15 @@
     await running.wait_ready()
 
 
-@pytest_bdd.when(
-    pytest_bdd.parsers.parse("an engine {says} that it leaves while {state}")
-)
-def engine_leaves(running, go, seen, says, state):
+@pytest_bdd.when(pytest_bdd.parsers.parse("an engine {leaves} while {state}"))
+def engine_leaves(running, go, seen, leaves, state):
     async def run():
         await settle(running)
         seen["engine"] = "glossary-2"
         await running.fault(
-            "platform", away="away" in state, hosts_frozen="frozen" in state
+            "platform", away="unavailable" in state, hosts_frozen="frozen" in state
         )
-        if says == "is drained":
+        if leaves == "is drained by an operator":
             code, output = await running.cli("drain", seen["engine"])
             assert code == 0, output
         else:
@@ -54,7 +56,7 @@
     go(run())
 
 
-@pytest_bdd.then("soon no entry sends it new work")
+@pytest_bdd.then("every entry soon stops sending it new work")
 def no_new_work(running, go, seen):
     async def known_everywhere():
         for name in running.entry_names:
@@ -87,7 +89,7 @@
 
 @pytest_bdd.when(
     pytest_bdd.parsers.parse(
-        "an entry with 20 answers under way is told to leave {how}"
+        "an entry with 20 answers in flight is told to leave {how}"
     )
 )
 def entry_leaves(running, go, seen, how):
@@ -107,7 +109,7 @@
             for number in range(20)
         ]
         await under_way.wait()
-        await running.fault("platform", away="away" in how)
+        await running.fault("platform", away="unavailable" in how)
         leaving = running.process_by_name["entry-1"]
         leaving.send_signal(signal.SIGTERM)
         if how == "twice":
@@ -136,11 +138,11 @@
         assert streamed.whole
 
 
-@pytest_bdd.then("the other entries no longer name it")
+@pytest_bdd.then("the other entries no longer list it")
 def left_out(seen):
     assert seen["left_out"]
 
 
-@pytest_bdd.then("it ended by itself")
+@pytest_bdd.then("its process exits by itself")
 def ended(seen):
     assert seen["code"] == 0
