--- a/tests/features/whole_answers.feature
+++ b/tests/features/whole_answers.feature
@@ -1,16 +1,16 @@
-Feature: Every caller gets its whole answer
+Feature: Every caller receives its whole answer
 
-  The stand-in engine's answers spell their own prompt, so that each token can
-  be checked to the letter.
+  The stand-in engine derives every token of an answer from the prompt, so the
+  scenarios can check answers token by token.
 
   Background:
     Given a fleet whose engines are behind proxies
 
   Scenario Outline: The engine dies <moment>
-    A caller reads an answer and the engine's host dies. Another engine must
-    make the rest, and no token may be missing, doubled or of another answer.
+    The engine is killed during an answer. Another engine must generate the
+    rest. No token may be missing, duplicated or taken from another answer.
     When the engine is killed <moment> of a <form> answer
-    Then the caller has the whole answer
+    Then the caller receives the whole answer
     And the rest came from another engine
 
     Examples:
@@ -21,10 +21,11 @@
       | before the first token                  | whole    |
       | mid-stream                              | whole    |
 
-  Scenario Outline: Pieces come <how>
-    A caller reads an answer whose pieces overtake each other on the way.
+  Scenario Outline: Pieces arrive <how>
+    The engine sends an answer in pieces. They may reach the entry twice, out of
+    order or late, or its stream may break between them.
     When an engine sends its pieces <how>
-    Then the caller has the whole answer
+    Then the caller receives the whole answer
 
     Examples:
       | how                  |
@@ -34,28 +35,29 @@
       | delayed              |
       | with cuts            |
 
-  Scenario: The link to the engine freezes and wakes
-    A caller's answer stops; the link is frozen, not closed. The entry must
-    notice the silence and read on where it stopped, not begin anew.
-    When the link to the engine freezes mid-stream and wakes
-    Then the caller has the whole answer
-    And the engine made it once
+  Scenario: The link to the engine freezes and recovers
+    The link to the engine stops carrying data but stays open. The entry must
+    detect this by timeout and resume the same stream where it stopped, instead
+    of sending the prompt again.
+    When the link to the engine freezes mid-stream and recovers
+    Then the caller receives the whole answer
+    And the engines received the prompt only once
 
   Scenario: The entry dies mid-stream
-    A caller's connection breaks, and it goes on at another entry with the
-    last event's id. It must get just the rest.
-    When the entry is killed mid-stream and the caller goes on elsewhere
-    Then the caller has the whole answer
-    And the engine made it once
+    The caller's connection breaks, and the caller resumes at another entry with
+    the id of the last event. It must receive exactly the rest.
+    When the entry is killed mid-stream and the caller resumes at another entry
+    Then the caller receives the whole answer
+    And the engines received the prompt only once
 
   Scenario: The entry dies and the engine with it
-    Nobody has the beginning of the answer any more but the caller. The rest
-    of another answer must not be put after it.
-    When the entry and the engine are killed mid-stream and the caller goes on elsewhere
+    Only the caller still has the beginning of the answer. The rest of a
+    different answer must not be appended to it.
+    When the entry and the engine are killed and the caller resumes at another entry
     Then the caller is told that the stream is lost
 
   Scenario: Two hundred callers at once
-    Many callers read at once while pieces are doubled, overtake each other
-    and links break. Each must get its own answer.
-    When 200 callers stream at once over links that misbehave
-    Then each has the whole answer to its own prompt
+    Many callers stream at once while pieces are doubled and reordered and links
+    break. Each caller must receive its own answer.
+    When 200 callers stream at once over faulty links
+    Then each receives the whole answer to its own prompt
--- a/tests/promises/test_weight_versions.py
+++ b/tests/promises/test_weight_versions.py
@@ -1,4 +1,8 @@
-"""Promise 5, in part: blocks of one weight version are nothing to another."""
+"""KV cache blocks of one weight version are not reused for another version.
+
+After an engine has swapped its weights, reused blocks of the old weights would give
+wrong answers, and nothing would show that they are wrong.
+"""
 
 import asyncio
 
@@ -34,7 +38,7 @@
     return streamed.usage["prompt_tokens_details"]["cached_tokens"]
 
 
-@pytest_bdd.when("an engine swaps its weights while an answer is under way")
+@pytest_bdd.when("an engine swaps its weights while an answer is in flight")
 def swap(running, go, seen):
     async def run():
         begun = asyncio.Event()
@@ -59,7 +63,7 @@
     go(run())
 
 
-@pytest_bdd.then("the answer under way is whole")
+@pytest_bdd.then("the answer in flight is whole")
 def answer_is_whole(seen):
     assert seen["under_way"].text == answers.expected(PROMPT, TOKENS)
     assert seen["under_way"].whole
--- a/tests/promises/test_whole_answers.py
+++ b/tests/promises/test_whole_answers.py
@@ -1,4 +1,8 @@
-"""Promise 2: every caller receives the whole answer to its own request."""
+"""Every caller receives the whole answer to its own prompt.
+
+Engines and entries that die, broken links and pieces that arrive twice or out of order
+could leave tokens out, repeat them or mix them with another answer's tokens.
+"""
 
 import asyncio
 import itertools
@@ -31,7 +35,7 @@
 
 
 class Reading:
-    """One answer under test, and the engine that began it."""
+    """One answer under test, and the engine that started it."""
 
     def __init__(self, running):
         self.running = running
@@ -68,7 +72,7 @@
                 self.streams_before |= set(counts["sent_by_stream"])
 
     async def find_engine(self):
-        """Return the engine that got a prompt since `note_received`."""
+        """Return the engine that has received a prompt since `note_received`."""
 
         async def found():
             for name, before in self.received_before.items():
@@ -81,10 +85,10 @@
         return self.engine
 
     async def until_sent(self, count):
-        """Wait until the engine that began has sent a number of this answer's tokens.
+        """Wait until the engine has sent at least `count` tokens of this answer.
 
-        Streams of earlier answers, which an engine keeps for a while after their
-        end, don't count.
+        An engine keeps the streams of earlier answers for a while after their end.
+        They don't count.
         """
 
         async def sent():
@@ -172,7 +176,7 @@
     go(run())
 
 
-@pytest_bdd.then("the caller has the whole answer")
+@pytest_bdd.then("the caller receives the whole answer")
 def answer_is_whole(reading):
     if reading.reply is not None:
         assert reading.reply.status == 200, reading.reply
@@ -187,7 +191,8 @@
 def other_engine_went_on(reading, go):
     del reading.received_before[reading.engine]
     assert go(reading.starts()) == 1
-    # It made the rest and not an answer of its own, which need not be the same.
+    # The other engine generates only the rest. An answer generated from the start
+    # could differ from the beginning that the caller already has.
     made = go(reading.made_since(reading.received_before))
     assert made < TOKENS if reading.began else made == TOKENS
 
@@ -209,7 +214,7 @@
     go(run())
 
 
-@pytest_bdd.when("the link to the engine freezes mid-stream and wakes")
+@pytest_bdd.when("the link to the engine freezes mid-stream and recovers")
 def freeze_link(running, reading, go):
     async def run():
         sending = asyncio.create_task(reading.stream())
@@ -229,7 +234,7 @@
     go(run())
 
 
-@pytest_bdd.then("the engine made it once")
+@pytest_bdd.then("the engines received the prompt only once")
 def made_once(reading, go):
     assert go(reading.starts()) == 1
 
@@ -250,13 +255,15 @@
     await reading.stream("entry-2", streamed=reading.streamed)
 
 
-@pytest_bdd.when("the entry is killed mid-stream and the caller goes on elsewhere")
+@pytest_bdd.when(
+    "the entry is killed mid-stream and the caller resumes at another entry"
+)
 def kill_entry(running, reading, go):
     go(read_until_killed(running, reading, kill_engine_too=False))
 
 
 @pytest_bdd.when(
-    "the entry and the engine are killed mid-stream and the caller goes on elsewhere"
+    "the entry and the engine are killed and the caller resumes at another entry"
 )
 def kill_entry_and_engine(running, reading, go):
     go(read_until_killed(running, reading, kill_engine_too=True))
@@ -270,9 +277,7 @@
 
 
 @pytest_bdd.when(
-    pytest_bdd.parsers.parse(
-        "{count:d} callers stream at once over links that misbehave"
-    ),
+    pytest_bdd.parsers.parse("{count:d} callers stream at once over faulty links"),
     target_fixture="crowd",
 )
 def stream_crowd(running, go, count):
@@ -300,7 +305,7 @@
     return go(run())
 
 
-@pytest_bdd.then("each has the whole answer to its own prompt")
+@pytest_bdd.then("each receives the whole answer to its own prompt")
 def each_is_whole(crowd):
     assert len(crowd) == 200
     for reading in crowd:
