--- a/tests/features/whole_path.feature
+++ b/tests/features/whole_path.feature
@@ -1,4 +1,4 @@
-Feature: One request from end to end
+Feature: Requests pass through the whole system
 
   Background:
     Given a fleet of three entries, three engines, a store host and a service
@@ -12,7 +12,7 @@
     Then both get the first run's answer
     And the service ran the booking once
 
-  Scenario: A change of the declarations is in force everywhere
+  Scenario: A change of the declarations becomes active at every entry
     When an operator applies a changed contract and waits
     Then every entry reports the new revision
     And the time line of every entry shows rising revisions
