--- a/tests/promises/test_at_most_once.py
+++ b/tests/promises/test_at_most_once.py
@@ -18,11 +18,11 @@
 
 SERVICE = "bookings-1"
 CALL_SECONDS = 2.0
-_references = itertools.count(1)
+_reference_numbers = itertools.count(1)
 
 
 @pytest.fixture(scope="module")
-def running(start_fleet):
+def running_fleet(start_fleet):
     return start_fleet(
         engines=0,
         store_hosts=0,
@@ -41,18 +41,20 @@
 class Booking:
     """One booking under test: its reference, its key and the replies to it."""
 
-    def __init__(self, running):
-        self.running = running
-        self.reference = f"booking-{next(_references)}"
+    def __init__(self, running_fleet):
+        self.running_fleet = running_fleet
+        self.reference = f"booking-{next(_reference_numbers)}"
         self.key = f"key-of-{self.reference}"
-        self.caller = caller.Caller(running.session, fleet.demo_key("bookings-desk"))
+        self.caller = caller.Caller(
+            running_fleet.session, fleet.demo_key("bookings-desk")
+        )
         self.reply = None
         self.replies = []
         self.repeat = None
 
     async def send(self, entry="entry-1"):
         return await self.caller.call(
-            self.running.url(entry),
+            self.running_fleet.url(entry),
             "bookings",
             "confirm",
             {"reference": self.reference, "padding": "x" * 100_000},
@@ -60,62 +62,64 @@
         )
 
     async def runs(self):
-        counts = await self.running.counts(SERVICE)
+        counts = await self.running_fleet.counts(SERVICE)
         return counts["runs"].get(self.reference, 0)
 
-    async def until_claimed(self, before):
+    async def wait_until_claimed(self, writes_before):
         async def claimed():
-            counts = await self.running.counts("platform")
-            return counts.get("claims", 0) > before
+            counts = await self.running_fleet.counts("platform")
+            return counts.get("claims", 0) > writes_before
 
-        await self.running.until(claimed)
+        await self.running_fleet.until(claimed)
 
-    async def until_run(self):
+    async def wait_until_run(self):
         async def ran():
             return await self.runs() == 1
 
-        await self.running.until(ran)
+        await self.running_fleet.until(ran)
 
-    async def claims(self):
-        return (await self.running.counts("platform")).get("claims", 0)
+    async def claim_writes(self):
+        return (await self.running_fleet.counts("platform")).get("claims", 0)
 
 
 @pytest.fixture
-def booking(running):
-    return Booking(running)
+def booking(running_fleet):
+    return Booking(running_fleet)
 
 
-async def kill_and_replace(running, name):
-    data_centre = (await running.status(name))["data_centre"]
-    await running.process_by_name[name].kill()
+async def kill_and_replace(running_fleet, name):
+    data_centre = (await running_fleet.status(name))["data_centre"]
+    await running_fleet.process_by_name[name].kill()
     return data_centre
 
 
 @pytest_bdd.given("a fleet whose service is behind a proxy")
-def fleet_is_running(running, go):
-    async def settle():
-        await running.fault("platform", away=False, hold_claims=False, lose_answers=0)
-        await running.fault(SERVICE, hold=False)
-        await running.proxy_fault(SERVICE, mode="pass", cut_after_bytes=0)
-        for name in running.entry_names:
-            if not running.process_by_name[name].running:
-                await running.start_entry(name, "kgl-1")
-        await running.wait_ready()
+def fleet_is_running(running_fleet, go):
+    async def reset_fleet():
+        await running_fleet.fault(
+            "platform", away=False, hold_claims=False, lose_answers=0
+        )
+        await running_fleet.fault(SERVICE, hold=False)
+        await running_fleet.proxy_fault(SERVICE, mode="pass", cut_after_bytes=0)
+        for name in running_fleet.entry_names:
+            if not running_fleet.process_by_name[name].running:
+                await running_fleet.start_entry(name, "kgl-1")
+        await running_fleet.wait_ready()
 
-    go(settle())
+    go(reset_fleet())
 
 
 @pytest_bdd.when(
     "the entry is killed between claim and dispatch of a booking with a key"
 )
-def kill_after_claim(running, booking, go):
+def kill_after_claim(running_fleet, booking, go):
     async def run():
-        before = await booking.claims()
-        await running.fault("platform", hold_claims=True)
+        writes_before = await booking.claim_writes()
+        await running_fleet.fault("platform", hold_claims=True)
         sending = asyncio.create_task(booking.send())
-        await booking.until_claimed(before)
-        await running.process_by_name["entry-1"].kill()
-        await running.fault("platform", hold_claims=False)
+        await booking.wait_until_claimed(writes_before)
+        await running_fleet.process_by_name["entry-1"].kill()
+        await running_fleet.fault("platform", hold_claims=False)
         booking.reply = await sending
 
     go(run())
@@ -124,39 +128,39 @@
 @pytest_bdd.when(
     "the entry is killed between dispatch and answer of a booking with a key"
 )
-def kill_after_dispatch(running, booking, go):
+def kill_after_dispatch(running_fleet, booking, go):
     async def run():
-        await running.fault(SERVICE, hold=True)
+        await running_fleet.fault(SERVICE, hold=True)
         sending = asyncio.create_task(booking.send())
-        await booking.until_run()
-        await running.process_by_name["entry-1"].kill()
-        await running.fault(SERVICE, hold=False)
+        await booking.wait_until_run()
+        await running_fleet.process_by_name["entry-1"].kill()
+        await running_fleet.fault(SERVICE, hold=False)
         booking.reply = await sending
 
     go(run())
 
 
 @pytest_bdd.when("the entry is killed after the answer of a booking with a key")
-def kill_after_answer(running, booking, go):
+def kill_after_answer(running_fleet, booking, go):
     async def run():
-        before = await booking.claims()
+        writes_before = await booking.claim_writes()
         booking.reply = await booking.send()
         # Two writes count as claims: the claim itself and its settlement.
-        await booking.until_claimed(before + 1)
-        await running.process_by_name["entry-1"].kill()
+        await booking.wait_until_claimed(writes_before + 1)
+        await running_fleet.process_by_name["entry-1"].kill()
 
     go(run())
 
 
 @pytest_bdd.when("the booking is repeated with the same key at another entry")
-def repeat_elsewhere(running, booking, go):
+def repeat_elsewhere(running_fleet, booking, go):
     async def entry_is_dead():
-        status = await running.status("entry-2")
+        status = await running_fleet.status("entry-2")
         states = {item["name"]: item["state"] for item in status["entries"]}
         return states.get("entry-1") != "live"
 
     async def run():
-        await running.until(entry_is_dead)
+        await running_fleet.until(entry_is_dead)
         booking.repeat = await booking.send("entry-2")
         while booking.repeat.code == "still_running":
             booking.repeat = await booking.send("entry-2")
@@ -183,21 +187,21 @@
 @pytest_bdd.when(
     "the entry is frozen past the call's deadline before the claim is answered"
 )
-def freeze_past_deadline(running, booking, go):
+def freeze_past_deadline(running_fleet, booking, go):
     async def run():
-        before = await booking.claims()
-        await running.fault("platform", hold_claims=True)
+        writes_before = await booking.claim_writes()
+        await running_fleet.fault("platform", hold_claims=True)
         sending = asyncio.create_task(booking.send())
-        await booking.until_claimed(before)
-        entry = running.process_by_name["entry-1"]
+        await booking.wait_until_claimed(writes_before)
+        entry = running_fleet.process_by_name["entry-1"]
         entry.send_signal(signal.SIGSTOP)
         stopped_at = time.monotonic()
-        await running.fault("platform", hold_claims=False)
+        await running_fleet.fault("platform", hold_claims=False)
 
-        async def deadline_is_past():
+        async def deadline_has_passed():
             return time.monotonic() > stopped_at + CALL_SECONDS
 
-        await running.until(deadline_is_past)
+        await running_fleet.until(deadline_has_passed)
         entry.send_signal(signal.SIGCONT)
         booking.reply = await sending
 
@@ -205,17 +209,17 @@
 
 
 @pytest_bdd.when(pytest_bdd.parsers.parse("the link to the service is cut {where}"))
-def cut_link(running, booking, go, where):
+def cut_link(running_fleet, booking, go, where):
     async def run():
         match where:
             case "before the request":
-                await running.proxy_fault(SERVICE, mode="refuse")
+                await running_fleet.proxy_fault(SERVICE, mode="refuse")
             case "inside the request":
-                await running.proxy_fault(SERVICE, cut_after_bytes=50_000)
+                await running_fleet.proxy_fault(SERVICE, cut_after_bytes=50_000)
             case "after the request":
-                await running.fault(SERVICE, cut_after=1)
+                await running_fleet.fault(SERVICE, cut_after=1)
             case "inside the answer":
-                await running.fault(SERVICE, cut_inside=1)
+                await running_fleet.fault(SERVICE, cut_inside=1)
         booking.reply = await booking.send()
 
     go(run())
@@ -229,22 +233,24 @@
 
 
 @pytest_bdd.when("the platform's answer to the claim is lost")
-def lose_claim_answer(running, booking, go):
+def lose_claim_answer(running_fleet, booking, go):
     async def run():
-        await running.fault("platform", lose_answers=1)
+        await running_fleet.fault("platform", lose_answers=1)
         booking.reply = await booking.send()
 
     go(run())
 
 
 @pytest_bdd.when("the platform's answer to the claim is lost in an outage")
-def lose_claim_answer_and_go(running, booking, go):
+def lose_claim_answer_in_outage(running_fleet, booking, go):
     async def run():
-        before = await booking.claims()
-        await running.fault("platform", hold_claims=True)
+        writes_before = await booking.claim_writes()
+        await running_fleet.fault("platform", hold_claims=True)
         sending = asyncio.create_task(booking.send())
-        await booking.until_claimed(before)
-        await running.fault("platform", away=True, lose_answers=1, hold_claims=False)
+        await booking.wait_until_claimed(writes_before)
+        await running_fleet.fault(
+            "platform", away=True, lose_answers=1, hold_claims=False
+        )
         booking.reply = await sending
 
     go(run())
@@ -253,15 +259,15 @@
 @pytest_bdd.when(
     "the platform is available again and the booking is repeated until answered"
 )
-def repeat_until_answered(running, booking, go):
+def repeat_until_answered(running_fleet, booking, go):
     async def run():
-        await running.fault("platform", away=False, lose_answers=0)
+        await running_fleet.fault("platform", away=False, lose_answers=0)
 
         async def answered():
             booking.repeat = await booking.send("entry-2")
             return booking.repeat.status == 200
 
-        await running.until(answered)
+        await running_fleet.until(answered)
 
     go(run())
 
@@ -272,9 +278,9 @@
 
 
 @pytest_bdd.when("the same booking is sent to all entries at once")
-def send_everywhere(running, booking, go):
+def send_everywhere(running_fleet, booking, go):
     async def run():
-        sending = (booking.send(name) for name in running.entry_names)
+        sending = (booking.send(name) for name in running_fleet.entry_names)
         booking.replies = await asyncio.gather(*sending)
 
     go(run())
@@ -297,11 +303,11 @@
 @pytest_bdd.when(
     "the platform is unavailable and one booking has a ticket and one a key"
 )
-def book_without_platform(running, booking, go):
+def book_without_platform(running_fleet, booking, go):
     async def run():
-        await running.fault("platform", away=True)
-        ticketed = Booking(running)
-        ticketed.key = await ticketed.caller.ticket(running.url("entry-1"))
+        await running_fleet.fault("platform", away=True)
+        ticketed = Booking(running_fleet)
+        ticketed.key = await ticketed.caller.ticket(running_fleet.url("entry-1"))
         ticketed.reply = await ticketed.send("entry-1")
         booking.replies = [ticketed]
         booking.reply = await booking.send("entry-1")
@@ -312,7 +318,7 @@
 @pytest_bdd.then(
     "the booking with the ticket ran once, and the other was refused as not run"
 )
-def ticket_ran(booking, go):
+def only_ticket_booking_ran(booking, go):
     (ticketed,) = booking.replies
     assert ticketed.reply.status == 200
     assert go(ticketed.runs()) == 1
@@ -322,37 +328,37 @@
 
 
 @pytest_bdd.when("a booking with a ticket is sent to all entries at once")
-def send_ticket_everywhere(running, booking, go):
+def send_ticket_everywhere(running_fleet, booking, go):
     async def run():
-        booking.key = await booking.caller.ticket(running.url("entry-2"))
-        sending = (booking.send(name) for name in running.entry_names)
+        booking.key = await booking.caller.ticket(running_fleet.url("entry-2"))
+        sending = (booking.send(name) for name in running_fleet.entry_names)
         booking.replies = await asyncio.gather(*sending)
 
     go(run())
 
 
-async def run_ticket_and_kill(running, booking):
-    booking.key = await booking.caller.ticket(running.url("entry-1"))
-    await running.fault(SERVICE, hold=True)
+async def kill_entry_during_ticket_call(running_fleet, booking):
+    booking.key = await booking.caller.ticket(running_fleet.url("entry-1"))
+    await running_fleet.fault(SERVICE, hold=True)
     sending = asyncio.create_task(booking.send("entry-1"))
-    await booking.until_run()
-    await running.process_by_name["entry-1"].kill()
-    await running.fault(SERVICE, hold=False)
+    await booking.wait_until_run()
+    await running_fleet.process_by_name["entry-1"].kill()
+    await running_fleet.fault(SERVICE, hold=False)
     booking.reply = await sending
 
 
 @pytest_bdd.when("the entry is killed while a booking with a ticket runs")
-def kill_during_ticket(running, booking, go):
-    go(run_ticket_and_kill(running, booking))
+def kill_entry_that_minted_ticket(running_fleet, booking, go):
+    go(kill_entry_during_ticket_call(running_fleet, booking))
 
 
 @pytest_bdd.when(
     "the platform becomes unavailable and the entry that minted a ticket is killed"
 )
-def kill_during_outage(running, booking, go):
+def kill_during_outage(running_fleet, booking, go):
     async def run():
-        await running.fault("platform", away=True)
-        await run_ticket_and_kill(running, booking)
+        await running_fleet.fault("platform", away=True)
+        await kill_entry_during_ticket_call(running_fleet, booking)
 
     go(run())
 
@@ -360,11 +366,11 @@
 @pytest_bdd.then(
     "a repeat of its booking is unknown, and a booking with a new ticket runs once"
 )
-def tickets_go_on(running, booking, go):
+def tickets_work_in_outage(running_fleet, booking, go):
     async def run():
         booking.repeat = await booking.send("entry-2")
-        fresh = Booking(running)
-        fresh.key = await fresh.caller.ticket(running.url("entry-2"))
+        fresh = Booking(running_fleet)
+        fresh.key = await fresh.caller.ticket(running_fleet.url("entry-2"))
         reply = await fresh.send("entry-3")
         return reply.status, await fresh.runs()
 
