--- a/tests/promises/test_limits.py
+++ b/tests/promises/test_limits.py
@@ -21,11 +21,11 @@
 ENGINE = "glossary-1"
 # The engine's counts are read after it has received this many prompts whose callers
 # disconnect early.
-LEFT = 150
+DISCONNECTED_PROMPTS = 150
 
 
 @pytest.fixture(scope="module")
-def running(start_fleet):
+def running_fleet(start_fleet):
     return start_fleet(
         engines=1,
         store_hosts=0,
@@ -36,78 +36,80 @@
     )
 
 
-async def send_without_end(running, numbers):
+async def send_continuously(running_fleet, numbers):
     """Send one prompt after another, each to the next entry, until cancelled."""
-    user = caller.Caller(running.session, fleet.demo_key(ACCOUNT))
+    user = caller.Caller(running_fleet.session, fleet.demo_key(ACCOUNT))
     while True:
         number = next(numbers)
-        entry = running.entry_names[number % len(running.entry_names)]
-        await user.complete(running.url(entry), "glossary", f"Prompt {number}.", 20)
+        entry = running_fleet.entry_names[number % len(running_fleet.entry_names)]
+        await user.complete(
+            running_fleet.url(entry), "glossary", f"Prompt {number}.", 20
+        )
         await asyncio.sleep(0.02)
 
 
-async def until_full(running):
-    async def is_full():
-        counts = await running.counts(ENGINE)
+async def wait_until_limit_reached(running_fleet):
+    async def limit_is_reached():
+        counts = await running_fleet.counts(ENGINE)
         return counts["running_by_account"].get(ACCOUNT, 0) == LIMIT
 
-    await running.until(is_full)
+    await running_fleet.until(limit_is_reached)
 
 
 @pytest_bdd.when(
     "training sends prompts continuously while entries are killed and replaced"
 )
-def rush(running, go, seen):
+def overload(running_fleet, go, seen):
     async def run():
         numbers = itertools.count()
         sending = [
-            asyncio.create_task(send_without_end(running, numbers))
+            asyncio.create_task(send_continuously(running_fleet, numbers))
             for _ in range(CALLERS)
         ]
-        await until_full(running)
+        await wait_until_limit_reached(running_fleet)
         for name in ("entry-1", "entry-2"):
-            await running.process_by_name[name].kill()
-            await running.start_entry(name, "kgl-1")
-            await running.wait_ready()
-        await until_full(running)
+            await running_fleet.process_by_name[name].kill()
+            await running_fleet.start_entry(name, "kgl-1")
+            await running_fleet.wait_ready()
+        await wait_until_limit_reached(running_fleet)
         seen["is_full"] = True
         for task in sending:
             task.cancel()
         await asyncio.gather(*sending, return_exceptions=True)
-        seen["counts"] = await running.counts(ENGINE)
+        seen["counts"] = await running_fleet.counts(ENGINE)
 
     go(run())
 
 
-async def send_and_leave(running, numbers):
+async def send_and_disconnect(running_fleet, numbers):
     """Send one prompt after another and disconnect during each answer."""
-    user = caller.Caller(running.session, fleet.demo_key(ACCOUNT))
+    user = caller.Caller(running_fleet.session, fleet.demo_key(ACCOUNT))
     while True:
         number = next(numbers)
-        entry = running.entry_names[number % len(running.entry_names)]
+        entry = running_fleet.entry_names[number % len(running_fleet.entry_names)]
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(0.1 + 0.01 * (number % 20)):
                 await user.complete(
-                    running.url(entry), "glossary", f"Left {number}.", 20
+                    running_fleet.url(entry), "glossary", f"Left {number}.", 20
                 )
 
 
 @pytest_bdd.when("callers of training disconnect before their answers are whole")
-def leave_early(running, go, seen):
+def disconnect_early(running_fleet, go, seen):
     async def run():
-        before = (await running.counts(ENGINE)).get("received", 0)
+        before = (await running_fleet.counts(ENGINE)).get("received", 0)
         numbers = itertools.count()
         sending = [
-            asyncio.create_task(send_and_leave(running, numbers))
+            asyncio.create_task(send_and_disconnect(running_fleet, numbers))
             for _ in range(CALLERS)
         ]
 
         async def many_were_sent():
-            counts = await running.counts(ENGINE)
-            return counts.get("received", 0) >= before + LEFT
+            counts = await running_fleet.counts(ENGINE)
+            return counts.get("received", 0) >= before + DISCONNECTED_PROMPTS
 
-        await running.until(many_were_sent)
-        seen["counts"] = await running.counts(ENGINE)
+        await running_fleet.until(many_were_sent)
+        seen["counts"] = await running_fleet.counts(ENGINE)
         for task in sending:
             task.cancel()
         await asyncio.gather(*sending, return_exceptions=True)
@@ -121,5 +123,5 @@
 
 
 @pytest_bdd.then("the account can use its whole contract again")
-def is_full(seen):
+def limit_is_reached(seen):
     assert seen["is_full"]
