--- a/tests/promises/test_at_most_once.py
+++ b/tests/promises/test_at_most_once.py
@@ -39,7 +39,19 @@
 
 
 class Booking:
-    """One booking under test: its reference, its key and the replies to it."""
+    """One booking under test: its reference, its key and the replies to it.
+
+    Attributes
+    ----------
+    key : str
+        Idempotency key of the call: the caller's own key or a ticket.
+    reply : caller.Reply or None
+        Reply to the first send.
+    replies : list
+        Replies to the sends to several entries, or a second booking of the scenario.
+    repeat : caller.Reply or None
+        Reply to the last repeat with the same key.
+    """
 
     def __init__(self, running_fleet):
         self.running_fleet = running_fleet
@@ -62,10 +74,13 @@
         )
 
     async def runs(self):
+        """Return how often the service ran this booking, by its own count."""
         counts = await self.running_fleet.counts(SERVICE)
         return counts["runs"].get(self.reference, 0)
 
     async def wait_until_claimed(self, writes_before):
+        """Wait until the platform counts more claim writes than `writes_before`."""
+
         async def claimed():
             counts = await self.running_fleet.counts("platform")
             return counts.get("claims", 0) > writes_before
@@ -79,6 +94,7 @@
         await self.running_fleet.until(ran)
 
     async def claim_writes(self):
+        """Return how many writes of claims the platform has counted."""
         return (await self.running_fleet.counts("platform")).get("claims", 0)
 
 
--- a/tests/promises/test_configuration.py
+++ b/tests/promises/test_configuration.py
@@ -32,6 +32,15 @@
 
     The base file records the revision that the folder was checked out at, so that
     `apply` can tell the operator's own changes from those of others.
+
+    Attributes
+    ----------
+    code : int or None
+        Exit code of the last `apply`.
+    changed : dict
+        The concurrency that the operator has set, by account.
+    output : str
+        Output of the last `apply`.
     """
 
     def __init__(self, running_fleet, root, name):
--- a/tests/promises/test_whole_answers.py
+++ b/tests/promises/test_whole_answers.py
@@ -35,7 +35,23 @@
 
 
 class AnswerUnderTest:
-    """One answer under test, and the engine that started it."""
+    """One answer under test, and the engine that started it.
+
+    Attributes
+    ----------
+    streamed : caller.Streamed or None
+        The answer as far as it was received, if it is streamed.
+    reply : caller.Reply or None
+        The reply, if the answer is not streamed.
+    engine : str
+        Name of the engine that `find_engine` found.
+    received_before, tokens_made_before : dict
+        Prompts received and tokens made by engine, as of `record_counts`.
+    streams_before : set of str
+        Streams that the engines knew at `record_counts`.
+    had_started : bool
+        Whether the engine may have sent tokens before it was killed.
+    """
 
     def __init__(self, running_fleet):
         self.running_fleet = running_fleet
@@ -71,6 +87,7 @@
         )
 
     async def record_counts(self):
+        """Record the counts of the running engines before the answer starts."""
         for name in ENGINES:
             if self.running_fleet.process_by_name[name].running:
                 counts = await self.running_fleet.counts(name)
@@ -109,6 +126,7 @@
         await self.running_fleet.until(sent)
 
     async def tokens_made_since(self, names):
+        """Return how many tokens these engines made since `record_counts`."""
         total = 0
         for name in names:
             counts = await self.running_fleet.counts(name)
@@ -116,6 +134,7 @@
         return total
 
     async def prompts_received(self):
+        """Return how many prompts the engines received since `record_counts`."""
         total = 0
         for name, before in self.received_before.items():
             counts = await self.running_fleet.counts(name)
@@ -247,6 +266,7 @@
 
 
 async def read_until_killed(running_fleet, answer, kill_engine_too):
+    """Kill the entry mid-stream, and resume the stream at another entry."""
     killed = asyncio.Event()
 
     async def kill_midway(streamed):
@@ -299,6 +319,7 @@
             answer.caller = caller.Caller(running_fleet.session, key)
 
         async def stream_until_accepted(number, answer):
+            # Some of the callers are refused with 429 and retry until accepted.
             entry = f"entry-{number % 3 + 1}"
             await answer.stream(entry)
             while answer.streamed.refusal is not None:
