--- a/tests/promises/test_configuration.py
+++ b/tests/promises/test_configuration.py
@@ -179,7 +179,7 @@
 
 @pytest_bdd.when("two operators each use up the rest of the pool's concurrency")
 def use_up_concurrency(operators, go):
-    # The contracts for the glossary pool leave about 40 of its concurrency of 400.
+    # The contracts for pool glossary-assistant leave about 40 of its limit of 400.
     anna, bram = operators
     anna.change("ministry-of-health", 95)
     bram.change("ministry-of-justice", 80)
