--- a/packages/cli/sesamespindle/cli/changes.py
+++ b/packages/cli/sesamespindle/cli/changes.py
@@ -97,7 +97,7 @@
     outcomes.CommandError
         If the change conflicts with another one, the combined set is invalid, or
         other changes come first in every attempt.
-    platform.PlatformAwayError
+    platform.PlatformUnavailableError
         If the platform is unavailable; the change may or may not have taken effect.
     """
     current = await head.read(client)
@@ -115,7 +115,7 @@
         try:
             return await head.replace(client, current, rebased, nonce)
         except platform.ConflictError as error:
-            current = head.from_object(error.found)
+            current = head.stored_head_of(error.found)
     raise outcomes.CommandError(
         f"Other changes came first in {_MAX_ATTEMPTS} attempts in a row.",
         outcomes.Exit.CONFLICT,
--- a/packages/cli/sesamespindle/cli/main.py
+++ b/packages/cli/sesamespindle/cli/main.py
@@ -356,7 +356,7 @@
         return asyncio.run(run())
     except outcomes.CommandError as error:
         outcomes.fail(error)
-    except (platform.PlatformAwayError, aiohttp.ClientError) as error:
+    except (platform.PlatformUnavailableError, aiohttp.ClientError) as error:
         outcomes.fail(outcomes.CommandError(f"No answer. {error}", outcomes.Exit.AWAY))
 
 
--- a/packages/daemon/sesamespindle/daemon/admin.py
+++ b/packages/daemon/sesamespindle/daemon/admin.py
@@ -73,7 +73,7 @@
         )
 
     async def _drain(self, request):
-        self._parts.stop_asked.set()
+        self._parts.stop_requested.set()
         return aiohttp.web.json_response({"leaving": True})
 
     async def _drain_target(self, request):
--- a/packages/daemon/sesamespindle/daemon/assembly.py
+++ b/packages/daemon/sesamespindle/daemon/assembly.py
@@ -16,10 +16,10 @@
     driver,
     eventlog,
     front,
-    lifeprobe,
     logs,
     metrics,
     peering,
+    targetprobe,
     tickets,
     tokens,
     watchers,
@@ -47,11 +47,11 @@
     ----------
     settings : sesamespindle.declare.settings.Settings
         The settings of the host.
-    stop_asked : asyncio.Event
+    stop_requested : asyncio.Event
         Set to make the daemon leave.
     leaving : bool
         Whether the daemon is shutting down.
-    in_hand : int
+    requests_in_flight : int
         The number of callers' requests that the front has not answered yet, including
         calls that were forwarded to a peer.
     """
@@ -65,9 +65,9 @@
     declarations: watchers.DeclarationsWatcher
     calls: call_runner.CallRunner
     tickets: tickets.Tickets
-    stop_asked: asyncio.Event
+    stop_requested: asyncio.Event
     leaving: bool = False
-    in_hand: int = 0
+    requests_in_flight: int = 0
 
 
 class Daemon(aiomisc.Service):
@@ -79,18 +79,18 @@
         The settings of the host.
     announce : callable
         Called with the `events.Host` of this daemon once it listens.
-    stop_asked : asyncio.Event
+    stop_requested : asyncio.Event
         Set to make the daemon leave. The daemon itself sets it when an operator
         drains it or when one of its background tasks fails.
     **kwargs
         Passed on to `aiomisc.Service`.
     """
 
-    def __init__(self, settings, announce, stop_asked, **kwargs):
+    def __init__(self, settings, announce, stop_requested, **kwargs):
         super().__init__(**kwargs)
         self._settings = settings
         self._announce = announce
-        self._stop_asked = stop_asked
+        self._stop_requested = stop_requested
         self._clock = clock.SystemClock()
         self._stack = contextlib.AsyncExitStack()
         self._tasks = []
@@ -134,7 +134,7 @@
     async def stop(self, exception=None):
         """Leave: announce it to peers, finish requests in flight, then close."""
         await self._finish_in_flight()
-        self._parts.driver.feed(events.HasLeft())
+        self._parts.driver.feed(events.DepartureFinished())
         await asyncio.sleep(_LAST_GOSSIP_SECONDS)
         for task in self._tasks:
             task.cancel()
@@ -161,7 +161,7 @@
         )
         signer = tokens.Signer(settings.token_key.get_secret_value())
         timeout = settings.policy.call_timeout
-        await self._stack.enter_async_context(lifeprobe.LifeProbe(core_driver))
+        await self._stack.enter_async_context(targetprobe.TargetProbe(core_driver))
         calls = await self._stack.enter_async_context(
             call_runner.CallRunner(core_driver, client, timeout)
         )
@@ -182,7 +182,7 @@
             declarations,
             calls,
             tickets.Tickets(core_driver, calls, signer, peers, timeout),
-            self._stop_asked,
+            self._stop_requested,
         )
 
     async def _serve(self, caller_socket, admin_socket):
@@ -230,7 +230,7 @@
         _log.opt(exception=task.exception()).error(
             "A background task failed; the daemon leaves."
         )
-        self._stop_asked.set()
+        self._stop_requested.set()
 
     async def _tick(self):
         """Make the decision logic do its periodic work, until cancelled."""
@@ -252,13 +252,13 @@
         parts = self._parts
         parts.leaving = True
         ends_at = parts.driver.clock.now() + self._settings.shutdown_grace
-        parts.driver.feed(events.LeaveAsked(ends_at))
-        _log.info("Leaving with {} requests in flight.", parts.in_hand)
+        parts.driver.feed(events.LeaveRequested(ends_at))
+        _log.info("Leaving with {} requests in flight.", parts.requests_in_flight)
         idle_seconds = 0.0
         while idle_seconds < _IDLE_SECONDS and parts.driver.clock.now() < ends_at:
             await asyncio.sleep(_POLL_SECONDS)
             idle_seconds += _POLL_SECONDS
-            if parts.in_hand or parts.calls.unsettled:
+            if parts.requests_in_flight or parts.calls.unfinished:
                 idle_seconds = 0.0
 
 
--- a/packages/daemon/sesamespindle/daemon/call_runner.py
+++ b/packages/daemon/sesamespindle/daemon/call_runner.py
@@ -68,7 +68,7 @@
         await self._services.close()
 
     @property
-    def unsettled(self):
+    def unfinished(self):
         """The number of calls and writes of claims that have not finished."""
         return len(self._tasks)
 
@@ -115,7 +115,7 @@
             ending = events.Ending.NOT_SENT
         except service.AnswerTimeoutError:
             ending = events.Ending.TIMED_OUT
-        except engine.LinkLostError:
+        except engine.ConnectionLostError:
             ending = events.Ending.LINK_LOST
         else:
             return events.CallAnswered(command.request_id, command.attempt, answer)
@@ -130,7 +130,7 @@
     async def _take_claim(self, command):
         """Write a claim, and feed the result to the decision logic."""
         try:
-            version = await claims.take(
+            version = await claims.write_claim(
                 self._platform,
                 command.account,
                 command.key,
@@ -139,7 +139,7 @@
             )
         except platform.ConflictError as error:
             event = _conflict_event(command, error.found)
-        except platform.PlatformAwayError as error:
+        except platform.PlatformUnavailableError as error:
             _log.bind(request=command.request_id).warning(
                 "The platform did not confirm the claim. {}", error
             )
@@ -162,7 +162,7 @@
         version = command.replaces
         while True:
             try:
-                await claims.take(
+                await claims.write_claim(
                     self._platform,
                     command.account,
                     command.key,
@@ -174,8 +174,10 @@
                 if not _is_same_call(command, error.found):
                     return
                 version = error.found.version if error.found else 0
-            except platform.PlatformAwayError:
-                await asyncio.sleep(retries.spread(delay, self._random).total_seconds())
+            except platform.PlatformUnavailableError:
+                await asyncio.sleep(
+                    retries.with_jitter(delay, self._random).total_seconds()
+                )
                 delay = min(delay * 2, datetime.timedelta(seconds=5))
 
     def _spawn(self, coroutine):
@@ -195,7 +197,7 @@
     """
     if found is None:
         return events.ClaimFailed(command.request_id)
-    claim = claims.from_value(found.value)
+    claim = claims.from_json_value(found.value)
     return events.ClaimFound(command.request_id, found.version, claim)
 
 
--- a/packages/daemon/sesamespindle/daemon/crashmessages.py
+++ b/packages/daemon/sesamespindle/daemon/crashmessages.py
@@ -5,7 +5,7 @@
 
 import datetime
 
-from sesamespindle.decide import gossip, lives
+from sesamespindle.decide import gossip, incarnations
 from sesamespindle.wire import peers_pb2
 
 
@@ -80,8 +80,8 @@
 
 def _crash_to_wire(crash, now):
     return peers_pb2.TargetCrash(
-        target=crash.life.name,
-        born=crash.life.born,
+        target=crash.incarnation.name,
+        born=crash.incarnation.born,
         service=crash.service,
         seconds_ago=_age_seconds(crash.at, now),
         suspects=[bytes.fromhex(item) for item in crash.suspects],
@@ -91,7 +91,7 @@
 
 def _crash_from_wire(message, sent_at):
     return gossip.TargetCrash(
-        lives.Life(message.target, message.born),
+        incarnations.TargetIncarnation(message.target, message.born),
         message.service,
         _time_of(sent_at, message),
         tuple(item.hex() for item in message.suspects),
--- a/packages/daemon/sesamespindle/daemon/front.py
+++ b/packages/daemon/sesamespindle/daemon/front.py
@@ -70,11 +70,11 @@
         runs itself, and so cuts off a call that it forwarded to another entry, or
         a request whose body it still receives. This counter includes both.
         """
-        self._parts.in_hand += 1
+        self._parts.requests_in_flight += 1
         try:
             return await handler(request)
         finally:
-            self._parts.in_hand -= 1
+            self._parts.requests_in_flight -= 1
 
     @aiohttp.web.middleware
     async def _answer_errors(self, request, handler):
--- a/packages/daemon/sesamespindle/daemon/logs.py
+++ b/packages/daemon/sesamespindle/daemon/logs.py
@@ -84,7 +84,7 @@
             self._unwritten = self._unwritten[written:]
 
 
-def set_up_lines(host, level="INFO"):
+def set_up_json_lines(host, level="INFO"):
     """Log JSON lines to standard output, without blocking.
 
     Parameters
--- a/packages/daemon/sesamespindle/daemon/main.py
+++ b/packages/daemon/sesamespindle/daemon/main.py
@@ -37,8 +37,8 @@
         print(error, file=sys.stderr)
         sys.exit(_EXIT_BAD_SETTINGS)
     logs.set_up(loaded.log, loaded.name)
-    stop_asked = asyncio.Event()
-    daemon = assembly.Daemon(loaded, _announce, stop_asked)
+    stop_requested = asyncio.Event()
+    daemon = assembly.Daemon(loaded, _announce, stop_requested)
     grace = loaded.shutdown_grace.total_seconds()
     entrypoint = aiomisc.entrypoint(
         daemon,
@@ -50,9 +50,9 @@
     # Entering the entrypoint opens the ports. The handlers are installed before that,
     # so that a signal makes the daemon leave in order as soon as a port is open.
     for number in (signal.SIGTERM, signal.SIGINT):
-        signals.on_signal(entrypoint.loop, number, stop_asked.set)
+        signals.on_signal(entrypoint.loop, number, stop_requested.set)
     with entrypoint as loop:
-        loop.run_until_complete(stop_asked.wait())
+        loop.run_until_complete(stop_requested.wait())
 
 
 def _announce(me):
--- a/packages/daemon/sesamespindle/daemon/peering.py
+++ b/packages/daemon/sesamespindle/daemon/peering.py
@@ -82,7 +82,7 @@
         Receives the events; its commands for peers are carried out here.
     declarations : sesamespindle.daemon.watchers.DeclarationsWatcher
         Provides the declarations for peers, and adopts those that peers send. Any
-        object with the same `summary`, `pack` and `unpack` will do.
+        object with the same `known_state`, `make_update` and `adopt_update` will do.
     server : grpc.aio.Server
         The server from `bind`; this object stops it.
     key : str
@@ -248,7 +248,7 @@
     async def FetchDeclarations(self, request, context):
         """Return the active declarations, without the documents that the peer has."""
         await self._authenticate(request, context, has_clock=False)
-        packed = self._declarations.pack(request.known_digests)
+        packed = self._declarations.make_update(request.known_digests)
         return peers_pb2.DeclarationsFound(
             revision=packed.revision, head=packed.head, documents=packed.documents
         )
@@ -411,7 +411,7 @@
         if answer is not None:
             holdings = peermessages.asks_from_wire(answer.asks)
             self._driver.feed(
-                events.HoldingsTold(
+                events.HoldingsReported(
                     command.entry,
                     answer.incarnation,
                     command.accounts,
@@ -442,13 +442,13 @@
         self._fetch_task = None
 
     async def _fetch_and_adopt(self, address):
-        known = self._declarations.summary()
+        known = self._declarations.known_state()
         request = peers_pb2.DeclarationsWanted(
             above_revision=known.revision, known_digests=known.digests
         )
         answer = await self._call(address, "FetchDeclarations", request, _FETCH_SECONDS)
         if answer is not None:
-            await self._declarations.unpack(answer.head, answer.documents)
+            await self._declarations.adopt_update(answer.head, answer.documents)
 
     async def _call(self, address, method, request, seconds=_RPC_SECONDS):
         """Call a method of a peer; return its answer, or None if the call failed."""
--- a/packages/daemon/sesamespindle/daemon/peermessages.py
+++ b/packages/daemon/sesamespindle/daemon/peermessages.py
@@ -8,12 +8,12 @@
 import datetime
 
 from sesamespindle.daemon import crashmessages
-from sesamespindle.decide import events, gossip, kvstores, lives, namings
+from sesamespindle.decide import announcements, events, gossip, incarnations, kvstores
 from sesamespindle.wire import peers_pb2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Known:
+class KnownState:
     """What a daemon already has, so that a peer sends only the rest.
 
     Attributes
@@ -21,8 +21,8 @@
     revision : int
         The active revision of the declarations.
     digests : list of str
-        What it has, in the form that the peer's `pack` expects: the digests of its
-        documents for `watchers.DeclarationsWatcher`.
+        What it has, in the form that the peer's `make_update` expects: the digests of
+        its documents for `watchers.DeclarationsWatcher`.
     """
 
     revision: int
@@ -30,7 +30,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Packed:
+class StateUpdate:
     """What a daemon sends to a peer that fetches declarations from it.
 
     Attributes
@@ -38,7 +38,7 @@
     revision : int
         The active revision of the declarations.
     head : bytes
-        JSON in the form that the peer's `unpack` expects: for
+        JSON in the form that the peer's `adopt_update` expects: for
         `watchers.DeclarationsWatcher` the head, which lists the documents of the
         revision.
     documents : dict of str to bytes
@@ -85,7 +85,7 @@
         wanted=message.wanted,
         leaving_targets=[
             peers_pb2.LeavingTarget(
-                name=item.life.name, url=item.url, born=item.life.born
+                name=item.incarnation.name, url=item.url, born=item.incarnation.born
             )
             for item in message.leaving_targets
         ],
@@ -94,10 +94,10 @@
         seen={item.kind: item.revision for item in message.seen},
         target_versions=[
             peers_pb2.TargetVersion(
-                target=item.life.name,
+                target=item.incarnation.name,
                 model=item.model,
                 version=item.version,
-                born=item.life.born,
+                born=item.incarnation.born,
                 revision=item.revision,
             )
             for item in message.target_versions
@@ -105,10 +105,10 @@
         lease_release=_lease_release_to_wire(message.lease_release, now),
         pending=[
             peers_pb2.PendingWork(
-                target=item.life.name,
+                target=item.incarnation.name,
                 tokens=item.tokens,
                 held_tokens=item.held_tokens,
-                born=item.life.born,
+                born=item.incarnation.born,
             )
             for item in message.pending
         ],
@@ -154,14 +154,16 @@
         tuple(_member_from_wire(item) for item in message.members),
         tuple(message.wanted),
         tuple(
-            gossip.LeavingTarget(lives.Life(item.name, item.born), item.url)
+            gossip.LeavingTarget(
+                incarnations.TargetIncarnation(item.name, item.born), item.url
+            )
             for item in message.leaving_targets
         ),
         message.revision,
         tuple(gossip.SeenRevision(*item) for item in message.seen.items()),
         tuple(
             gossip.TargetVersion(
-                lives.Life(item.target, item.born),
+                incarnations.TargetIncarnation(item.target, item.born),
                 item.model,
                 item.version,
                 item.revision,
@@ -171,7 +173,9 @@
         _lease_release_from_wire(message, now),
         tuple(
             gossip.PendingWork(
-                lives.Life(item.target, item.born), item.tokens, item.held_tokens
+                incarnations.TargetIncarnation(item.target, item.born),
+                item.tokens,
+                item.held_tokens,
             )
             for item in message.pending
         ),
@@ -213,7 +217,7 @@
 
 
 def _naming_from_wire(message, sent_at):
-    return namings.Naming(
+    return announcements.Naming(
         message.model,
         message.version,
         message.replaces,
@@ -234,7 +238,7 @@
         store=store_word.store,
         boot=store_word.boot,
         position=store_word.position,
-        seconds_ago=(now - store_word.told_at).total_seconds(),
+        seconds_ago=(now - store_word.checked_at).total_seconds(),
         is_silent=store_word.is_silent,
         clock_ms=clock_ms,
     )
--- a/packages/daemon/sesamespindle/daemon/prompt_runner.py
+++ b/packages/daemon/sesamespindle/daemon/prompt_runner.py
@@ -246,9 +246,9 @@
             return events.Ending.NOT_SENT, None
         except engine.RefusedError as error:
             return events.Ending.REFUSED, error.retry_after
-        except engine.StreamGoneError:
+        except engine.StreamNotFoundError:
             return events.Ending.STREAM_GONE, None
-        except (engine.LinkLostError, streams.ForeignPieceError):
+        except (engine.ConnectionLostError, streams.ForeignPieceError):
             return events.Ending.LINK_LOST, None
         finally:
             await items.aclose()
--- a/packages/daemon/sesamespindle/daemon/relay.py
+++ b/packages/daemon/sesamespindle/daemon/relay.py
@@ -79,7 +79,7 @@
         idle.
         """
         self._is_ending = True
-        self._driver.feed(events.Ends())
+        self._driver.feed(events.ShutdownStarted())
         now = asyncio.get_running_loop().time()
         for send_timeout in self._send_timeouts:
             if not send_timeout.expired():
@@ -253,7 +253,7 @@
         Its deadline has passed, the host ends, or the send was withdrawn.
         """
         if self._is_ending:
-            command = self._forwarding.host_ends(forward.request_id)
+            command = self._forwarding.refuse_shutting_down(forward.request_id)
             self._log_end(forward, "host ends", command)
             return command
         if send.withdrawal_reason:
@@ -333,8 +333,8 @@
         has part of the answer from an earlier target.
         """
         seconds = None
-        if forward.patience is not None and answer.response is None:
-            seconds = forward.patience.total_seconds()
+        if forward.first_byte_timeout is not None and answer.response is None:
+            seconds = forward.first_byte_timeout.total_seconds()
         return asyncio.timeout(seconds)
 
     async def _handle_response(self, http, forward, response, answer):
@@ -354,9 +354,9 @@
         version = self._dialect.weight_version(response.headers)
         if version is not None:
             self._forwarding.report_version(forward.request_id, version)
-        idle_seconds = self._dialect.idle_time(response.headers)
+        idle_seconds = self._dialect.keep_alive_seconds(response.headers)
         is_reusable = idle_seconds is None or idle_seconds >= _MIN_IDLE_SECONDS
-        ending = self._dialect.judge(forward, response.status, response.headers)
+        ending = self._dialect.ending_of(forward, response.status, response.headers)
         if ending is not None:
             # The target has already said what became of the request. A withdrawal
             # while the rest of its response is read would lose that, for example
@@ -507,7 +507,7 @@
         """
         is_resumable = forward.repeats is routes.Repeats.RESUMABLE
         if answer.response is not None and not is_resumable:
-            self._call_core(self._forwarding.broke_off, forward.request_id)
+            self._call_core(self._forwarding.answer_broken, forward.request_id)
             raise _CutOffError
         return sends.Ending.LOST
 
--- a/packages/daemon/sesamespindle/daemon/replies.py
+++ b/packages/daemon/sesamespindle/daemon/replies.py
@@ -71,7 +71,7 @@
         self.outcome = outcome
         self.param = param
 
-    def to_value(self):
+    def to_json_value(self):
         """Return the error as the JSON object of a response body."""
         retry_after = None
         if self.retry_after is not None:
@@ -101,7 +101,7 @@
             seconds = math.ceil(self.retry_after.total_seconds())
             headers["Retry-After"] = str(max(1, seconds))
         return aiohttp.web.json_response(
-            self.to_value(), status=self.status, headers=headers
+            self.to_json_value(), status=self.status, headers=headers
         )
 
 
--- a/packages/daemon/sesamespindle/daemon/sinks.py
+++ b/packages/daemon/sesamespindle/daemon/sinks.py
@@ -176,6 +176,6 @@
     async def finish_with_error(self, error):
         """End an answer that has begun with a `replies.CallerError`."""
         self._failed = True
-        text = f"data: {aiohttp.web.json_response(error.to_value()).text}\n\n"
+        text = f"data: {aiohttp.web.json_response(error.to_json_value()).text}\n\n"
         await self._response.write(text.encode())
         await self._response.write_eof()
--- a/packages/daemon/sesamespindle/daemon/lifeprobe.py
+++ b/packages/daemon/sesamespindle/daemon/targetprobe.py
@@ -8,21 +8,22 @@
 _log = logs.part("relay")
 
 
-class LifeProbe:
-    """Carries out `crashes.ProbeLife` commands.
+class TargetProbe:
+    """Carries out `crashes.ProbeTarget` commands.
 
     Used as a context manager, it cancels the probes in flight at the end.
 
     Parameters
     ----------
     driver : sesamespindle.daemon.driver.Driver
-        Receives `crashes.LifeRefuses` for targets that refuse the connection.
+        Receives `crashes.TargetRefusesConnections` for targets that refuse the
+        connection.
     """
 
     def __init__(self, driver):
         self._driver = driver
         self._tasks = set()
-        driver.on(crashes.ProbeLife, self._start_probe)
+        driver.on(crashes.ProbeTarget, self._start_probe)
 
     async def __aenter__(self):
         return self
@@ -50,10 +51,10 @@
             async with asyncio.timeout(connections.CONNECT_SECONDS):
                 _, writer = await asyncio.open_connection(host, int(port))
         except ConnectionRefusedError:
-            self._driver.feed(crashes.LifeRefuses(command.life))
+            self._driver.feed(crashes.TargetRefusesConnections(command.incarnation))
         except (OSError, TimeoutError) as error:
             _log.debug(
-                "Inconclusive probe of target {}. {!r}", command.life.name, error
+                "Inconclusive probe of target {}. {!r}", command.incarnation.name, error
             )
         else:
             writer.close()
--- a/packages/daemon/sesamespindle/daemon/tickets.py
+++ b/packages/daemon/sesamespindle/daemon/tickets.py
@@ -71,7 +71,7 @@
         refused.
         """
         if self._driver.clock.now() >= ticket.expires_at:
-            is_key_known = self._driver.core.calls.knows_key(account, call.key)
+            is_key_known = self._driver.core.calls.has_key(account, call.key)
             if not is_key_known:
                 raise _ticket_expired_error()
         arrival = arrivals.call_arrival(
--- a/packages/daemon/sesamespindle/daemon/watchers.py
+++ b/packages/daemon/sesamespindle/daemon/watchers.py
@@ -65,9 +65,11 @@
             await self._wait_until_due(random_source)
             try:
                 version = await self._wait_for_change(version)
-            except (platform.PlatformAwayError, findings.FindingsError) as error:
+            except (platform.PlatformUnavailableError, findings.FindingsError) as error:
                 _log.warning("Failed to read the declarations. {}", error)
-                pause = retries.spread(self._settings.host_list_interval, random_source)
+                pause = retries.with_jitter(
+                    self._settings.host_list_interval, random_source
+                )
                 await asyncio.sleep(pause.total_seconds())
 
     async def _wait_until_due(self, random_source):
@@ -77,7 +79,7 @@
         one of the few watchers of its data centre, which pass changes on to the others
         by gossip, or until the time of its own occasional check.
         """
-        check_at = self._driver.clock.now() + retries.spread(
+        check_at = self._driver.clock.now() + retries.with_jitter(
             _PLATFORM_CHECK_INTERVAL, random_source
         )
         while self.known.is_set() and self._driver.clock.now() < check_at:
@@ -91,7 +93,7 @@
         )
         if found is None:
             return version
-        stored = head.from_object(found)
+        stored = head.stored_head_of(found)
         missing = self.missing(stored.head)
         await self.adopt(stored.head, await head.read_documents(self._client, missing))
         return stored.version
@@ -110,12 +112,12 @@
         """
         return set(wanted.digest_by_key.values()) - self._content_by_digest.keys()
 
-    def summary(self):
-        """Return the `peermessages.Known` record of what a peer need not send."""
+    def known_state(self):
+        """Return the `peermessages.KnownState` record of what a peer need not send."""
         digests = list(self.head.digest_by_key.values())
-        return peermessages.Known(self.head.revision, digests)
+        return peermessages.KnownState(self.head.revision, digests)
 
-    def pack(self, known_digests):
+    def make_update(self, known_digests):
         """Return the active head and its documents, without those that a peer has.
 
         Parameters
@@ -132,10 +134,12 @@
             digest: json.dumps(self._content_by_digest[digest]).encode()
             for digest in wanted
         }
-        raw_head = json.dumps(self.head.to_value()).encode()
-        return peermessages.Packed(self.head.revision, raw_head, documents_by_digest)
+        raw_head = json.dumps(self.head.to_json_value()).encode()
+        return peermessages.StateUpdate(
+            self.head.revision, raw_head, documents_by_digest
+        )
 
-    async def unpack(self, raw_head, documents_by_digest):
+    async def adopt_update(self, raw_head, documents_by_digest):
         """Adopt what a peer packed, if its revision is higher.
 
         Parameters
@@ -177,7 +181,7 @@
         if new_head.revision <= self.head.revision:
             return
         self._content_by_digest |= content_by_digest
-        entities = head.entities_of(new_head, self._content_by_digest)
+        entities = head.validated_entities(new_head, self._content_by_digest)
         declarations = documents.to_declarations(entities)
         self.head = new_head
         kept = set(new_head.digest_by_key.values())
@@ -223,12 +227,14 @@
                 if listed is not None:
                     version = listed.version
                     self._driver.feed(events.HostsListed(listed.value))
-            except platform.PlatformAwayError as error:
+            except platform.PlatformUnavailableError as error:
                 _log.warning("Failed to read the host list. {}", error)
             entries = len(self._driver.core.state.entries)
             fair_interval = datetime.timedelta(seconds=entries / _HOST_READS_PER_SECOND)
             interval = max(self._settings.host_list_interval, fair_interval)
-            await asyncio.sleep(retries.spread(interval, random_source).total_seconds())
+            await asyncio.sleep(
+                retries.with_jitter(interval, random_source).total_seconds()
+            )
 
 
 class LoadWatcher:
--- a/packages/decide/sesamespindle/decide/admission.py
+++ b/packages/decide/sesamespindle/decide/admission.py
@@ -53,7 +53,7 @@
         -------
         wait : datetime.timedelta
         """
-        slots = self._slices.prospect(account, self._resource, now)
+        slots = self._slices.expected_slots(account, self._resource, now)
         usage = account.usage_by_resource[self._resource]
         free = slots - usage.running - self._queue.waiting(account.name)
         if free > 0:
@@ -65,7 +65,7 @@
     def push(self, account, request_id, now):
         """Queue a request, and ask for a larger slice if this one is now too small."""
         self._queue.push(account, request_id)
-        self._slices.need(account, self._resource, now)
+        self._slices.request_larger_slice_if_short(account, self._resource, now)
 
     def take(self, now):
         """Dequeue the next request that has a slot; return its id, or None."""
--- a/packages/decide/sesamespindle/decide/namings.py
+++ b/packages/decide/sesamespindle/decide/announcements.py
@@ -40,7 +40,7 @@
     is_sure: bool
 
 
-class Namings:
+class Announcements:
     """The announced weight versions of all models."""
 
     def __init__(self):
--- a/packages/decide/sesamespindle/decide/calls.py
+++ b/packages/decide/sesamespindle/decide/calls.py
@@ -7,7 +7,7 @@
     catalogue,
     commands,
     events,
-    lives,
+    incarnations,
     refusals,
     routing,
     tables,
@@ -44,7 +44,7 @@
     # one, also when its caller changes the key.
     request_fingerprint: str = ""
     # The target incarnation that the call was last sent to, and when.
-    life: lives.Life | None = None
+    incarnation: incarnations.TargetIncarnation | None = None
     sent_at: datetime.datetime | None = None
 
 
@@ -174,7 +174,7 @@
         key_row.state = events.ClaimState.DONE
         key_row.answer = answer
 
-    def knows_key(self, account, key):
+    def has_key(self, account, key):
         """Return whether this daemon has a record of an account's key."""
         return _key_id(account, key) in self.keys
 
@@ -400,10 +400,14 @@
             )
             return
 
-        def narrow(targets):
-            return self._quarantine.narrow(row.request_fingerprint, targets, now)
+        def permitted_targets(targets):
+            return self._quarantine.permitted_targets(
+                row.request_fingerprint, targets, now
+            )
 
-        target = routing.choose_service(self._state, row.pool, now, row.tried, narrow)
+        target = routing.choose_service(
+            self._state, row.pool, now, row.tried, permitted_targets
+        )
         if target is None or len(row.tried) >= _MAX_TARGETS_TRIED:
             self._give_up_unrun(
                 row,
@@ -415,7 +419,7 @@
         row.attempt += 1
         row.target = target.name
         row.tried.add(target.name)
-        row.life, row.sent_at = self._crashes.life_of(target), now
+        row.incarnation, row.sent_at = self._crashes.incarnation_of(target), now
         target.running_here += 1
         self._state.emit(
             commands.SendCall(row.request_id, row.attempt, target.name, target.url)
@@ -441,12 +445,16 @@
         row.may_have_run = True
         timed_out = event.ending is events.Ending.TIMED_OUT
         if timed_out:
-            self._crashes.left(row.request_fingerprint, row.life, now)
+            self._crashes.record_abandoned_run(
+                row.request_fingerprint, row.incarnation, now
+            )
         else:
-            self._crashes.broke(row.request_fingerprint, row.life, row.sent_at, now)
+            self._crashes.record_broken_run(
+                row.request_fingerprint, row.incarnation, row.sent_at, now
+            )
         may_retry = row.repeatable and not timed_out
         # This attempt counts as one possible crash; after a second there is no retry.
-        if self._quarantine.suspicion(row.request_fingerprint) > 1:
+        if self._quarantine.possible_crash_count(row.request_fingerprint) > 1:
             may_retry = False
         if may_retry and self._state.budget_by_pool[row.pool].spend():
             self._send(row, now)
@@ -461,8 +469,8 @@
         target = self._state.targets.get(row.target)
         if target is not None:
             catalogue.note_success(target)
-        self._crashes.answered(row.life, row.sent_at)
-        self._quarantine.served(row.request_fingerprint, now)
+        self._crashes.record_answer(row.incarnation, row.sent_at)
+        self._quarantine.record_success(row.request_fingerprint, now)
         self._state.emit(
             commands.ReplyStored(row.request_id, event.answer, replayed=False)
         )
--- a/packages/decide/sesamespindle/decide/catalogue.py
+++ b/packages/decide/sesamespindle/decide/catalogue.py
@@ -109,7 +109,7 @@
         if row.url != host.url:
             row.url = host.url
             row.leaving = False
-            row.shunned_until = None
+            row.ejected_until = None
             row.failures = 0
         row.listed = host.state is not events.HostState.DEAD
         if host.state is events.HostState.LEAVING:
@@ -167,14 +167,14 @@
     """Eject a target that has just failed; the time doubles with each failure."""
     row.failures += 1
     doublings = min(row.failures - 1, _MAX_EJECTION_DOUBLINGS)
-    row.shunned_until = now + _FIRST_EJECTION * 2**doublings
+    row.ejected_until = now + _FIRST_EJECTION * 2**doublings
     state.emit(commands.Note("target_failed", row.name, f"{row.failures} in a row"))
 
 
 def note_success(row):
     """Reset a target's failures and end its ejection."""
     row.failures = 0
-    row.shunned_until = None
+    row.ejected_until = None
 
 
 def _replace_all(table, rows):
@@ -186,7 +186,7 @@
         table.add(row)
 
 
-def me_as_entry(me):
+def own_entry_row(me):
     """Return the entry row of this daemon, from its `events.Host`."""
     fields = dataclasses.asdict(me)
     del fields["role"]
--- a/packages/decide/sesamespindle/decide/coldtargets.py
+++ b/packages/decide/sesamespindle/decide/coldtargets.py
@@ -37,7 +37,7 @@
         self._sender_by_incarnation = {}
         self._cached_view = None
 
-    def narrow(self, rows, service, now):
+    def permitted_targets(self, rows, service, now):
         """Return the targets, out of some, that may get a request from this host now.
 
         A target that may have restarted, and would then be cold, is returned only if
@@ -91,12 +91,15 @@
         cold_if_restarted_after = now - cold_start.lasts
         if row.refused_at is not None and row.refused_at > cold_if_restarted_after:
             return True
-        crash = self._crashes.crash_of(row.life)
+        crash = self._crashes.crash_of(row.incarnation)
         return crash is not None and crash.at > cold_if_restarted_after
 
     def _may_send(self, row, cold_start, now):
         """Return whether this host may send to a cold target now."""
-        if not self._is_settled(now) or self._sender(row.life) != self._state.me.name:
+        if (
+            not self._is_settled(now)
+            or self._sender(row.incarnation) != self._state.me.name
+        ):
             return False
         if row.cold_sent_at is None:
             return True
--- a/packages/decide/sesamespindle/decide/commands.py
+++ b/packages/decide/sesamespindle/decide/commands.py
@@ -255,7 +255,7 @@
     Attributes
     ----------
     settled : bool
-        See `events.HoldingsTold`.
+        See `events.HoldingsReported`.
     """
 
     exchange_id: str
--- a/packages/decide/sesamespindle/decide/core.py
+++ b/packages/decide/sesamespindle/decide/core.py
@@ -41,7 +41,7 @@
 
     def __init__(self, me, policy=None, seed=0, seeds=(), key=""):
         self.state = world.World(me, policy, seed)
-        self.state.put_entry(catalogue.me_as_entry(me))
+        self.state.put_entry(catalogue.own_entry_row(me))
         self._now = None
         self._catalogue = catalogue.Catalogue(self.state)
         self.slices = sliceholder.SliceHolder(self.state, self._usage)
@@ -51,10 +51,10 @@
             for resource in events.Resource
         }
         # Declared targets restart under the same name and report no start time.
-        self.crashes = crashes.Crashes(self.state, names_return=True)
+        self.crashes = crashes.Crashes(self.state, restarts_keep_name=True)
         # This platform stores no quarantine records; the hosts keep them in memory.
         self.quarantine = quarantine.Quarantine(
-            self.state, self.crashes, is_written=False
+            self.state, self.crashes, stored_on_platform=False
         )
         self.prompts = prompts.Prompts(
             self.state,
@@ -73,8 +73,8 @@
         self.membership = membership.Membership(
             self.state,
             seeds,
-            contradicts=False,
-            gives_up_early=False,
+            raises_incarnation=False,
+            probes_at_start=False,
             quarantine=self.quarantine,
         )
 
@@ -97,7 +97,7 @@
         self.state.pauses.note_step(now)
         for event in happened:
             self._handle(event, now)
-        self.membership.tell_crashes(now)
+        self.membership.gossip_crashes(now)
         return self.state.take_commands()
 
     def choose_entries(self, account, count):
@@ -181,27 +181,27 @@
                 self._catalogue.list_hosts(event, now)
             case events.DeclarationsAdopted():
                 self._catalogue.adopt(event)
-                self.membership.spread(now)
+                self.membership.start_round(now)
             case gossip.GossipReceived():
                 self.membership.receive(event, now)
             case gossip.GossipAnswered():
-                self.membership.answered(event, now)
-            case events.LeaveAsked():
+                self.membership.receive_reply(event, now)
+            case events.LeaveRequested():
                 self.membership.leave(event, now)
             case events.SlicesAsked():
-                self.slice_owner.asked(event, now)
+                self.slice_owner.handle_asks(event, now)
             case events.SlicesGranted():
-                self.slices.granted(event, now)
+                self.slices.handle_grants(event, now)
                 self.prompts.drain(now)
                 self.calls.drain(now)
-            case events.HasLeft():
-                self.membership.has_left(now)
+            case events.DepartureFinished():
+                self.membership.announce_departure(now)
             case events.HoldingsAsked():
-                self.slices.tell(event, now)
-            case events.HoldingsTold():
-                self.slice_owner.told(event, now)
+                self.slices.report_holdings(event, now)
+            case events.HoldingsReported():
+                self.slice_owner.handle_holdings(event, now)
             case _:
-                self.crashes.take(event, now)
+                self.crashes.handle(event, now)
 
     def _tick(self, now):
         self.crashes.tick(now)
--- a/packages/decide/sesamespindle/decide/crashes.py
+++ b/packages/decide/sesamespindle/decide/crashes.py
@@ -3,7 +3,7 @@
 import dataclasses
 import datetime
 
-from sesamespindle.decide import commands, gossip, lives
+from sesamespindle.decide import commands, gossip, incarnations
 
 # How long after a connection broke the end of the target's incarnation may still be
 # confirmed. A crashed target has restarted and is listed again after some seconds.
@@ -34,18 +34,18 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ProbeLife:
+class ProbeTarget:
     """Check whether an incarnation of a target still accepts connections."""
 
-    life: lives.Life
+    incarnation: incarnations.TargetIncarnation
     address: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class LifeRefuses:
+class TargetRefusesConnections:
     """The address of a target's incarnation refused a connection."""
 
-    life: lives.Life
+    incarnation: incarnations.TargetIncarnation
 
 
 @dataclasses.dataclass(slots=True)
@@ -54,7 +54,7 @@
 
     Attributes
     ----------
-    life : lives.Life
+    incarnation : incarnations.TargetIncarnation
         The incarnation.
     service : str
         The pool or service that the target belongs to.
@@ -69,7 +69,7 @@
         Gossip rounds in which the crash is still announced.
     """
 
-    life: lives.Life
+    incarnation: incarnations.TargetIncarnation
     service: str
     at: datetime.datetime
     suspects: set[str]
@@ -115,47 +115,51 @@
     ----------
     state : world.World
         The shared tables.
-    names_return : bool
+    restarts_keep_name : bool
         Whether targets restart under the same name and don't report a start time.
         Their incarnations are then numbered by how many are known to have ended.
     """
 
-    def __init__(self, state, names_return=False):
+    def __init__(self, state, restarts_keep_name=False):
         self._state = state
-        self._names_return = names_return
+        self._restarts_keep_name = restarts_keep_name
         # How many incarnations of a target are known to have ended, by target name.
-        # Used with `names_return` alone.
+        # Used with `restarts_keep_name` alone.
         self._ended_count_by_name = {}
-        self.crash_by_life = {}
-        self._broken_runs_by_life = {}
+        self.crash_by_incarnation = {}
+        self._broken_runs_by_incarnation = {}
         # When callers disconnected from runs, by incarnation and fingerprint.
-        self._abandoned_at_by_life = {}
-        self._lives_by_fingerprint = {}
+        self._abandoned_at_by_incarnation = {}
+        self._incarnations_by_fingerprint = {}
         # Fingerprints that are suspects of `_REPEATED_FROM` crashes or more.
         self._repeated = set()
         self._successful_run_by_fingerprint = {}
 
-    def take(self, event, now):
+    def handle(self, event, now):
         """Handle one of this module's events; return whether the event was one."""
         match event:
-            case LifeRefuses():
-                self.is_over(event.life)
+            case TargetRefusesConnections():
+                self.record_end(event.incarnation)
             case _:
                 return False
         return True
 
-    def life_of(self, row):
-        """Return the `lives.Life` of a target's current incarnation."""
-        if not self._names_return:
-            return row.life
-        return lives.Life(row.name, self._ended_count_by_name.get(row.name, 0))
+    def incarnation_of(self, row):
+        """Return the `incarnations.TargetIncarnation` that a target has now."""
+        if not self._restarts_keep_name:
+            return row.incarnation
+        return incarnations.TargetIncarnation(
+            row.name, self._ended_count_by_name.get(row.name, 0)
+        )
 
-    def _current_row(self, life):
+    def _current_row(self, incarnation):
         """Return the row of a target's incarnation, or None if it isn't current."""
-        row = self._state.targets.get(life.name)
-        return row if row is not None and self.life_of(row) == life else None
+        row = self._state.targets.get(incarnation.name)
+        return (
+            row if row is not None and self.incarnation_of(row) == incarnation else None
+        )
 
-    def broke(self, fingerprint, life, sent_at, now):
+    def record_broken_run(self, fingerprint, incarnation, sent_at, now):
         """Record a run whose connection broke before its answer was complete.
 
         Guards against requests that are suspected although they were not in flight in
@@ -168,35 +172,37 @@
         fingerprint : str
             The request's fingerprint. Nothing is recorded if it is empty, that is, not
             known.
-        life : lives.Life
+        incarnation : incarnations.TargetIncarnation
             The incarnation that the run was sent to.
         sent_at, now : datetime.datetime
             When the run was sent, and the current time.
         """
         if not fingerprint or self._state.pauses.paused_since(sent_at):
             return
-        known = self.crash_by_life.get(life)
+        known = self.crash_by_incarnation.get(incarnation)
         if known is not None:
             self._add_suspects(known, {fingerprint})
             return
-        row = self._current_row(life)
+        row = self._current_row(incarnation)
         if row is None or row.leaving or row.missing_since is not None:
             return
-        broken = self._broken_runs_by_life.get(life)
+        broken = self._broken_runs_by_incarnation.get(incarnation)
         if broken is None:
             broken = _BrokenRuns(row.pool, row.url, now)
-            self._broken_runs_by_life[life] = broken
-            self._probe(life, broken)
+            self._broken_runs_by_incarnation[incarnation] = broken
+            self._probe(incarnation, broken)
         broken.fingerprints.add(fingerprint)
 
-    def left(self, fingerprint, life, now):
+    def record_abandoned_run(self, fingerprint, incarnation, now):
         """Record a run that was abandoned by its caller or by this host."""
         if fingerprint:
-            self._abandoned_at_by_life.setdefault(life, {})[fingerprint] = now
+            self._abandoned_at_by_incarnation.setdefault(incarnation, {})[
+                fingerprint
+            ] = now
 
-    def served(self, fingerprint, now):
+    def record_success(self, fingerprint, now):
         """Record a successful run: the request did not cause the crashes before it."""
-        if fingerprint in self._lives_by_fingerprint:
+        if fingerprint in self._incarnations_by_fingerprint:
             self.clear(fingerprint, now)
 
     def clear(self, fingerprint, at):
@@ -209,7 +215,7 @@
         """
         if at - _CLOCK_TOLERANCE > self.cleared_at(fingerprint, at - _RETENTION):
             self._successful_run_by_fingerprint[fingerprint] = _SuccessfulRun(at)
-            self._state.tells_crashes = True
+            self._state.must_announce_crashes = True
 
     def cleared_at(self, fingerprint, default):
         """Return when a request last ran successfully or was cleared.
@@ -228,8 +234,8 @@
         Refuted crashes and those before its last successful run don't count.
         """
         crashes = [
-            self.crash_by_life[life]
-            for life in self._lives_by_fingerprint.get(fingerprint, ())
+            self.crash_by_incarnation[incarnation]
+            for incarnation in self._incarnations_by_fingerprint.get(fingerprint, ())
         ]
         return [crash for crash in crashes if self._counts(fingerprint, crash)]
 
@@ -242,16 +248,16 @@
         """Return the fingerprints that were in flight in two crashes or more."""
         return self._repeated
 
-    def crash_of(self, life):
+    def crash_of(self, incarnation):
         """Return the unrefuted `Crash` that ended an incarnation, or None."""
-        crash = self.crash_by_life.get(life)
+        crash = self.crash_by_incarnation.get(incarnation)
         return crash if crash is not None and not crash.is_refuted else None
 
-    def has_crashed(self, life):
+    def has_crashed(self, incarnation):
         """Return whether an incarnation of a target is known to have crashed."""
-        return self.crash_of(life) is not None
+        return self.crash_of(incarnation) is not None
 
-    def answered(self, life, sent_at):
+    def record_answer(self, incarnation, sent_at):
         """Record that an incarnation answered a request.
 
         Guards against a broken link that is taken for a crash, so that the requests on
@@ -265,27 +271,27 @@
         sent_at : datetime.datetime
             When the answered request was sent.
         """
-        broken = self._broken_runs_by_life.get(life)
+        broken = self._broken_runs_by_incarnation.get(incarnation)
         if broken is not None and sent_at > broken.at:
-            del self._broken_runs_by_life[life]
-        crash = self.crash_by_life.get(life)
+            del self._broken_runs_by_incarnation[incarnation]
+        crash = self.crash_by_incarnation.get(incarnation)
         if crash is None or crash.is_refuted:
             return
         if sent_at > crash.at + _CLOCK_TOLERANCE:
             self._refute(crash)
 
-    def is_over(self, life):
+    def record_end(self, incarnation):
         """Record that an incarnation has ended; it is a crash if runs broke there."""
-        broken = self._broken_runs_by_life.pop(life, None)
+        broken = self._broken_runs_by_incarnation.pop(incarnation, None)
         if broken is None:
             return
-        abandoned_at = self._abandoned_at_by_life.pop(life, {})
+        abandoned_at = self._abandoned_at_by_incarnation.pop(incarnation, {})
         suspects = broken.fingerprints | {
             fingerprint
             for fingerprint, at in abandoned_at.items()
             if broken.at - at <= _ABANDONED_SHORTLY_BEFORE
         }
-        self._record(Crash(life, broken.service, broken.at, suspects))
+        self._record(Crash(incarnation, broken.service, broken.at, suspects))
 
     def possible_crashes(self, fingerprint):
         """Return the number of possible crashes of a request.
@@ -295,7 +301,7 @@
         """
         return sum(
             fingerprint in broken.fingerprints
-            for broken in self._broken_runs_by_life.values()
+            for broken in self._broken_runs_by_incarnation.values()
         )
 
     def tick(self, now):
@@ -305,24 +311,24 @@
         drains or the time for confirmation is over, and probed again otherwise.
         """
         self._forget_old(now)
-        for life, broken in list(self._broken_runs_by_life.items()):
-            row = self._current_row(life)
+        for incarnation, broken in list(self._broken_runs_by_incarnation.items()):
+            row = self._current_row(incarnation)
             if row is None or row.superseded_by:
-                self.is_over(life)
+                self.record_end(incarnation)
             elif row.leaving or now - broken.at > _CONFIRMATION_TIMEOUT:
-                del self._broken_runs_by_life[life]
+                del self._broken_runs_by_incarnation[incarnation]
             else:
-                self._probe(life, broken)
-        self._abandoned_at_by_life = {
-            life: at_by_fingerprint
-            for life, at_by_fingerprint in self._abandoned_at_by_life.items()
-            if now - max(at_by_fingerprint.values()) <= _ABANDONED_SHORTLY_BEFORE
+                self._probe(incarnation, broken)
+        self._abandoned_at_by_incarnation = {
+            incarnation: at_by_request
+            for incarnation, at_by_request in self._abandoned_at_by_incarnation.items()
+            if now - max(at_by_request.values()) <= _ABANDONED_SHORTLY_BEFORE
         }
 
-    def _probe(self, life, broken):
+    def _probe(self, incarnation, broken):
         if broken.probes < _MAX_PROBES:
             broken.probes += 1
-            self._state.emit(ProbeLife(life, broken.address))
+            self._state.emit(ProbeTarget(incarnation, broken.address))
 
     def _forget_old(self, now):
         """Drop outdated crashes and clearings.
@@ -330,8 +336,8 @@
         Crashes are checked in the order in which they were recorded, up to the first
         that is recent enough to keep.
         """
-        while self.crash_by_life:
-            oldest = next(iter(self.crash_by_life.values()))
+        while self.crash_by_incarnation:
+            oldest = next(iter(self.crash_by_incarnation.values()))
             if now - oldest.at < _RETENTION:
                 break
             self._forget(oldest)
@@ -340,27 +346,27 @@
                 del self._successful_run_by_fingerprint[fingerprint]
 
     def _forget(self, crash):
-        del self.crash_by_life[crash.life]
-        name = crash.life.name
-        if all(life.name != name for life in self.crash_by_life):
+        del self.crash_by_incarnation[crash.incarnation]
+        name = crash.incarnation.name
+        if all(incarnation.name != name for incarnation in self.crash_by_incarnation):
             self._ended_count_by_name.pop(name, None)
         for fingerprint in crash.suspects:
-            crashed_lives = self._lives_by_fingerprint[fingerprint]
-            crashed_lives.discard(crash.life)
-            if len(crashed_lives) < _REPEATED_FROM:
+            crashed_incarnations = self._incarnations_by_fingerprint[fingerprint]
+            crashed_incarnations.discard(crash.incarnation)
+            if len(crashed_incarnations) < _REPEATED_FROM:
                 self._repeated.discard(fingerprint)
-            if not crashed_lives:
-                del self._lives_by_fingerprint[fingerprint]
+            if not crashed_incarnations:
+                del self._incarnations_by_fingerprint[fingerprint]
 
     def _record(self, crash):
-        self.crash_by_life[crash.life] = crash
-        name, ended_count = crash.life.name, crash.life.born + 1
+        self.crash_by_incarnation[crash.incarnation] = crash
+        name, ended_count = crash.incarnation.name, crash.incarnation.born + 1
         self._ended_count_by_name[name] = max(
             ended_count, self._ended_count_by_name.get(name, 0)
         )
         self._index_suspects(crash, crash.suspects)
-        while len(self.crash_by_life) > MAX_CRASHES:
-            self._forget(next(iter(self.crash_by_life.values())))
+        while len(self.crash_by_incarnation) > MAX_CRASHES:
+            self._forget(next(iter(self.crash_by_incarnation.values())))
 
     def _add_suspects(self, crash, fingerprints):
         added = fingerprints - crash.suspects
@@ -370,25 +376,27 @@
 
     def _index_suspects(self, crash, fingerprints):
         for fingerprint in fingerprints:
-            crashed_lives = self._lives_by_fingerprint.setdefault(fingerprint, set())
-            crashed_lives.add(crash.life)
-            if len(crashed_lives) >= _REPEATED_FROM:
+            crashed_incarnations = self._incarnations_by_fingerprint.setdefault(
+                fingerprint, set()
+            )
+            crashed_incarnations.add(crash.incarnation)
+            if len(crashed_incarnations) >= _REPEATED_FROM:
                 self._repeated.add(fingerprint)
         self._announce(crash)
         self._log_crash(crash, fingerprints)
 
     def _announce(self, crash):
         crash.rounds = _ANNOUNCED_ROUNDS
-        self._state.tells_crashes = True
+        self._state.must_announce_crashes = True
 
     def _refute(self, crash):
         crash.is_refuted = True
         self._announce(crash)
-        self._state.emit(commands.Note("crash_refuted", crash.life.name))
+        self._state.emit(commands.Note("crash_refuted", crash.incarnation.name))
 
     # Gossip with peers.
 
-    def told(self, whole):
+    def records_to_announce(self, whole):
         """Return the records to send to a peer.
 
         Parameters
@@ -403,7 +411,9 @@
         cleared : tuple of gossip.ClearedRequest
         """
         crashes = [
-            crash for crash in self.crash_by_life.values() if whole or crash.rounds
+            crash
+            for crash in self.crash_by_incarnation.values()
+            if whole or crash.rounds
         ]
         cleared = [
             gossip.ClearedRequest(fingerprint, served.at)
@@ -428,7 +438,7 @@
             free -= len(suspects)
             if suspects:
                 yield gossip.TargetCrash(
-                    crash.life,
+                    crash.incarnation,
                     crash.service,
                     crash.at,
                     tuple(suspects),
@@ -438,12 +448,12 @@
     def note_round(self):
         """Count a gossip round in which the recent records were announced."""
         for item in (
-            *self.crash_by_life.values(),
+            *self.crash_by_incarnation.values(),
             *self._successful_run_by_fingerprint.values(),
         ):
             item.rounds = max(0, item.rounds - 1)
 
-    def hear(self, crashes, cleared):
+    def merge(self, crashes, cleared):
         """Merge records received from a peer; this is idempotent."""
         for record in cleared:
             self.clear(record.fingerprint, record.at)
@@ -451,11 +461,14 @@
             self._merge_crash(record)
 
     def _merge_crash(self, received):
-        self.is_over(received.life)
-        known = self.crash_by_life.get(received.life)
+        self.record_end(received.incarnation)
+        known = self.crash_by_incarnation.get(received.incarnation)
         if known is None:
             known = Crash(
-                received.life, received.service, received.at, set(received.suspects)
+                received.incarnation,
+                received.service,
+                received.at,
+                set(received.suspects),
             )
             self._record(known)
         else:
@@ -468,7 +481,7 @@
         self._state.emit(
             commands.Note(
                 "target_crashed",
-                crash.life.name,
+                crash.incarnation.name,
                 f"{len(fingerprints)} requests under way: {names}",
             )
         )
--- a/packages/decide/sesamespindle/decide/departure.py
+++ b/packages/decide/sesamespindle/decide/departure.py
@@ -36,7 +36,7 @@
 
     Attributes
     ----------
-    open_until : datetime.datetime
+    accepts_all_until : datetime.datetime
         Until then all requests are accepted, as callers can't know yet that the host is
         leaving.
     ends_at : datetime.datetime
@@ -46,7 +46,7 @@
         left: nothing is accepted or sent any more.
     """
 
-    open_until: datetime.datetime
+    accepts_all_until: datetime.datetime
     ends_at: datetime.datetime
     is_over: bool = False
 
@@ -60,7 +60,7 @@
         """
         return self.is_over or until > self.ends_at
 
-    def takes(self, until, now):
+    def accepts(self, until, now):
         """Return whether to accept a request that can be retried if it is cut off.
 
         For a call that may run at most once use `may_cut_off` alone: it is accepted
@@ -73,7 +73,7 @@
         now : datetime.datetime
             The current time.
         """
-        accepts_all = not self.is_over and now < self.open_until
+        accepts_all = not self.is_over and now < self.accepts_all_until
         return accepts_all or not self.may_cut_off(until)
 
 
--- a/packages/decide/sesamespindle/decide/evacuations.py
+++ b/packages/decide/sesamespindle/decide/evacuations.py
@@ -72,7 +72,7 @@
         # The revision of the latest change or list that covers each data centre.
         self._revision_by_data_centre = {}
 
-    def take(self, event, now):
+    def handle(self, event, now):
         """Process an event of this module; return False for any other event."""
         match event:
             case EvacuationsListed():
--- a/packages/decide/sesamespindle/decide/events.py
+++ b/packages/decide/sesamespindle/decide/events.py
@@ -316,17 +316,17 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ends:
+class ShutdownStarted:
     """The daemon ends: requests in flight get final answers, new ones are refused."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HasLeft:
+class DepartureFinished:
     """All requests in flight are finished, and the daemon ends."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class LeaveAsked:
+class LeaveRequested:
     """An operator or the host has asked this daemon to leave.
 
     Attributes
@@ -416,7 +416,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HoldingsTold:
+class HoldingsReported:
     """An entry has answered which slices it holds of accounts that are owned here now.
 
     Attributes
--- a/packages/decide/sesamespindle/decide/flights.py
+++ b/packages/decide/sesamespindle/decide/flights.py
@@ -3,7 +3,7 @@
 import dataclasses
 import datetime
 
-from sesamespindle.decide import kvstores, lives, routes
+from sesamespindle.decide import incarnations, kvstores, routes
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -78,7 +78,7 @@
     fingerprint : str
         Identifies the request in crash detection. All attempts of the same request
         have the same one; it is empty if it is unknown.
-    life : lives.Life or None
+    incarnation : incarnations.TargetIncarnation or None
         The target incarnation of its last send.
     sends : int
         Number of sends to targets.
@@ -86,7 +86,7 @@
         Number of ended sends after which a target may have begun to run it.
     sent_at : datetime.datetime or None
         When the send in flight began; None while there is none.
-    tried : set of lives.Life
+    tried : set of incarnations.TargetIncarnation
         The target incarnations that it was sent to.
     version : int or None
         The weight version of its last send; None for plain services.
@@ -101,7 +101,7 @@
     arrived_at: datetime.datetime
     until: datetime.datetime
     fingerprint: str = ""
-    life: lives.Life | None = None
+    incarnation: incarnations.TargetIncarnation | None = None
     sends: int = 0
     runs: int = 0
     sent_at: datetime.datetime | None = None
--- a/packages/decide/sesamespindle/decide/forwarding.py
+++ b/packages/decide/sesamespindle/decide/forwarding.py
@@ -8,7 +8,7 @@
     flights,
     kvstores,
     placement,
-    promptplacing,
+    promptplacement,
     retries,
     routes,
     sendlog,
@@ -86,7 +86,7 @@
     ):
         self._state = state
         self._weights = weights
-        self._prompt_placement = promptplacing.PromptPlacing(state, weights, stores)
+        self._prompt_placement = promptplacement.PromptPlacement(state, weights, stores)
         self._budgets = budgets
         self._crashes = crashes
         self._quarantine = quarantine
@@ -173,7 +173,7 @@
         command : sends.Forward, sends.PassOn or commands.Refuse
         """
         flight = self.flight_by_request[request_id]
-        row = self._state.target_in(flight.life)
+        row = self._state.target_in(flight.incarnation)
         self._report_to_crashes(flight, ending, now)
         self._release(flight)
         self._note_ending(flight, row, ending, now)
@@ -190,11 +190,11 @@
         if flight is None:
             return
         flight.has_begun = True
-        row = self._state.target_in(flight.life)
+        row = self._state.target_in(flight.incarnation)
         if row is None:
             return
         if flight.sent_at is not None:
-            self._crashes.answered(flight.life, flight.sent_at)
+            self._crashes.record_answer(flight.incarnation, flight.sent_at)
         row.sent_by_request.pop(request_id, None)
         _note_result(row, False)
         if not flight.route.streaming and flight.sent_at is not None:
@@ -241,17 +241,19 @@
         if flight is None:
             return
         if flight.sent_at is not None:
-            self._crashes.left(flight.fingerprint, flight.life, now)
+            self._crashes.record_abandoned_run(
+                flight.fingerprint, flight.incarnation, now
+            )
         self._release(flight)
 
     def served(self, request_id, now):
         """Record that a caller has received a target's complete answer."""
         flight = self.flight_by_request.get(request_id)
         if flight is not None:
-            self._quarantine.served(flight.fingerprint, now)
+            self._quarantine.record_success(flight.fingerprint, now)
             self._release(flight)
 
-    def broke_off(self, request_id, now):
+    def answer_broken(self, request_id, now):
         """Record that an answer broke off and can't be continued."""
         flight = self.flight_by_request.get(request_id)
         if flight is not None:
@@ -284,7 +286,7 @@
     def _target_row(self, request_id):
         """Return the row of the target of a request's last send, or None."""
         flight = self.flight_by_request.get(request_id)
-        return self._state.target_in(flight.life) if flight is not None else None
+        return self._state.target_in(flight.incarnation) if flight is not None else None
 
     def _count_live_entries(self):
         """Return the number of live entry hosts, at least 1."""
@@ -305,11 +307,11 @@
         rows = self._candidates(flight, service, now)
         if not rows:
             code = commands.Code.NO_TARGET
-            if self._quarantine.suspicion(flight.fingerprint) > 1:
+            if self._quarantine.possible_crash_count(flight.fingerprint) > 1:
                 code = commands.Code.SUSPECTED
             return self._final_answer(flight, ending, now, code)
         if not _is_engine_prompt(flight, service):
-            row = placement.choose_plain(rows, self._state.me.data_centre, now)
+            row = placement.choose_service_target(rows, self._state.me.data_centre, now)
             return self._start(flight, row, None, now)
         place = self._prompt_placement.choose(flight, service.engines, rows, now)
         if place is None:
@@ -321,20 +323,20 @@
     def _start(self, flight, row, place, now):
         """Record a send at its target, and return it."""
         request = flight.request
-        flight.life = row.life
+        flight.incarnation = row.incarnation
         flight.version = place.version if place else None
         flight.sends += 1
         flight.sent_at = now
         flight.has_begun = False
-        flight.tried.add(row.life)
+        flight.tried.add(row.incarnation)
         row.running_here += 1
         self._cold_targets.note_sent(row, now)
         if place:
-            sent = world.SentWork(now, place.read_tokens)
+            sent = world.SentWork(now, place.prefill_tokens)
             row.sent_by_request[request.request_id] = sent
             row.held_by_request[request.request_id] = request.held_tokens
-            if place.read_tokens >= _ANNOUNCED_AT_ONCE_TOKENS:
-                self._state.tells_pending = True
+            if place.prefill_tokens >= _ANNOUNCED_AT_ONCE_TOKENS:
+                self._state.must_announce_pending = True
         account = flight.account
         return sends.Forward(
             request.request_id,
@@ -369,16 +371,18 @@
             for row in self._state.targets.where("pool", flight.service)
             if row.stays
         ]
-        rows = self._cold_targets.narrow(rows, flight.service, now)
+        rows = self._cold_targets.permitted_targets(rows, flight.service, now)
         if _is_engine_prompt(flight, service):
-            rows = self._prompt_placement.timely(flight, service.engines, rows, now)
+            rows = self._prompt_placement.engines_in_time(
+                flight, service.engines, rows, now
+            )
         rows = placement.usable(rows, now) or rows
-        untried = [row for row in rows if row.life not in flight.tried]
+        untried = [row for row in rows if row.incarnation not in flight.tried]
         rows = untried or rows
         if service is not None and service.max_connections:
             limit = max(1, service.max_connections // self._count_live_entries())
             rows = [row for row in rows if row.running_here < limit]
-        return self._quarantine.narrow(flight.fingerprint, rows, now)
+        return self._quarantine.permitted_targets(flight.fingerprint, rows, now)
 
     def _would_wait_too_long(self, flight, row, now):
         """Return whether the queue at a target is too long for the time left."""
@@ -413,7 +417,7 @@
         """
         if maybe_ran and flight.route.repeats is routes.Repeats.ONCE:
             return False
-        if maybe_ran and self._quarantine.suspicion(flight.fingerprint) > 1:
+        if maybe_ran and self._quarantine.possible_crash_count(flight.fingerprint) > 1:
             return False
         departure = self._state.departure
         if departure is not None and departure.is_over:
@@ -433,19 +437,21 @@
             return
         match ending:
             case sends.Ending.LOST:
-                self._crashes.broke(
-                    flight.fingerprint, flight.life, flight.sent_at, now
+                self._crashes.record_broken_run(
+                    flight.fingerprint, flight.incarnation, flight.sent_at, now
                 )
             case sends.Ending.SILENT | sends.Ending.WITHDRAWN:
-                self._crashes.left(flight.fingerprint, flight.life, now)
+                self._crashes.record_abandoned_run(
+                    flight.fingerprint, flight.incarnation, now
+                )
             case sends.Ending.REFUSED | sends.Ending.WRONG_TARGET:
-                self._crashes.is_over(flight.life)
+                self._crashes.record_end(flight.incarnation)
             case (
                 sends.Ending.FAILED
                 | sends.Ending.TURNED_AWAY
                 | sends.Ending.WRONG_VERSION
             ):
-                self._crashes.answered(flight.life, flight.sent_at)
+                self._crashes.record_answer(flight.incarnation, flight.sent_at)
 
     def _note_ending(self, flight, row, ending, now):
         """Record what a send's end shows about the health and weights of its target."""
@@ -458,20 +464,20 @@
                 row.refused_at = now
                 catalogue.note_failure(self._state, row, now)
             case sends.Ending.TURNED_AWAY:
-                row.shunned_until = now + _BUSY_EJECTION_TIME
+                row.ejected_until = now + _BUSY_EJECTION_TIME
                 if self._weights.is_behind(row, flight.request.model):
-                    row.switching_until = now + _WEIGHT_LOADING_TIME
+                    row.loading_until = now + _WEIGHT_LOADING_TIME
             case sends.Ending.WRONG_TARGET:
                 self._state.refute_target(row, now)
             case sends.Ending.WRONG_VERSION:
                 self._weights.note_refused(row, flight.request.model, flight.version)
-                flight.tried.discard(row.life)
+                flight.tried.discard(row.incarnation)
             case sends.Ending.FAILED | sends.Ending.LOST | sends.Ending.SILENT:
                 _note_result(row, True)
 
     def _release(self, flight):
         """Release the connection and memory accounted to a send at its target."""
-        row = self._state.target_in(flight.life)
+        row = self._state.target_in(flight.incarnation)
         if row is not None and flight.sent_at is not None:
             row.running_here = max(0, row.running_here - 1)
             row.sent_by_request.pop(flight.request.request_id, None)
@@ -524,7 +530,7 @@
             outcome,
         )
 
-    def host_ends(self, request_id):
+    def refuse_shutting_down(self, request_id):
         """Return the final answer of a request in flight when the host shuts down."""
         return self._refuse(
             self.flight_by_request[request_id].request,
@@ -544,7 +550,7 @@
             return False
         if route.repeats is routes.Repeats.ONCE and not route.streaming:
             return departure.may_cut_off(until)
-        return not departure.takes(until, now)
+        return not departure.accepts(until, now)
 
     def _refuse_leaving(self, request, until, now):
         seconds_left = (self._state.departure.ends_at - now).total_seconds()
@@ -555,13 +561,13 @@
             commands.Outcome.NOT_RUN,
             f"This host shuts down in {seconds_left:.1f} s, and the request may take "
             f"{may_take:.1f} s; connect to another host.",
-            retries.spread(_LEAVING_RETRY_AFTER, self._state.random),
+            retries.with_jitter(_LEAVING_RETRY_AFTER, self._state.random),
         )
 
     def _refuse(self, request, code, message, outcome=commands.Outcome.NOT_RUN):
         retry_after = None
         if outcome is commands.Outcome.NOT_RUN:
-            retry_after = retries.spread(
+            retry_after = retries.with_jitter(
                 self._state.policy.retry_after, self._state.random
             )
         return commands.Refuse(request.request_id, code, outcome, message, retry_after)
--- a/packages/decide/sesamespindle/decide/gateway.py
+++ b/packages/decide/sesamespindle/decide/gateway.py
@@ -28,7 +28,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Terms:
+class PlatformLimits:
     """Limits that the platform requires every host to keep.
 
     Attributes
@@ -38,7 +38,7 @@
     lease_time : datetime.timedelta
         The least time between the last order to engines by one lease holder and the
         first order by the next.
-    weights_within : datetime.timedelta
+    max_superseded_age : datetime.timedelta
         Time after the announcement of a weight version from which no run may
         begin on an older one.
     contact_time : datetime.timedelta
@@ -48,7 +48,7 @@
 
     budget: budgets.BudgetRule
     lease_time: datetime.timedelta = datetime.timedelta(seconds=3)
-    weights_within: datetime.timedelta = datetime.timedelta(seconds=8)
+    max_superseded_age: datetime.timedelta = datetime.timedelta(seconds=8)
     contact_time: datetime.timedelta = datetime.timedelta(seconds=3)
 
 
@@ -93,9 +93,9 @@
     ):
         self.state = world.World(me, policy, seed, started_at)
         # The URL stays empty until this host can serve; see `_announce_when_ready`.
-        self.state.put_entry(catalogue.me_as_entry(dataclasses.replace(me, url="")))
+        self.state.put_entry(catalogue.own_entry_row(dataclasses.replace(me, url="")))
         self.weights = weights.Weights(
-            self.state, terms.weights_within, terms.contact_time
+            self.state, terms.max_superseded_age, terms.contact_time
         )
         self.stores = kvstores.KvStores(self.state)
         self.crashes = crashes.Crashes(self.state)
@@ -159,7 +159,7 @@
         self.state.pauses.note_step(now)
         for event in happened:
             self._handle(event, now)
-        self.membership.tell_crashes(now)
+        self.membership.gossip_crashes(now)
         self._announce_when_ready(now)
         return self.state.take_commands()
 
@@ -199,21 +199,21 @@
             case events.HostsListed():
                 self._entries.list_entries(event.hosts, now)
             case gossip.GossipReceived():
-                self.weights.hear(event.message.named, now)
+                self.weights.merge(event.message.named, now)
                 self.membership.receive(event, now)
             case gossip.GossipAnswered():
-                self.weights.hear(event.message.named, now)
-                self.membership.answered(event, now)
-            case events.LeaveAsked():
+                self.weights.merge(event.message.named, now)
+                self.membership.receive_reply(event, now)
+            case events.LeaveRequested():
                 self.membership.leave(event, now)
-                self.lease.give_back(now)
-            case events.Ends():
+                self.lease.release_for_good(now)
+            case events.ShutdownStarted():
                 self.membership.end()
-            case events.HasLeft():
-                self.membership.has_left(now)
+            case events.DepartureFinished():
+                self.membership.announce_departure(now)
             case _:
                 if not any(
-                    component.take(event, now) for component in self._components
+                    component.handle(event, now) for component in self._components
                 ):
                     raise TypeError(
                         f"No component of the gateway handles the event {event!r}."
@@ -234,13 +234,13 @@
         self.state.cold_start_by_service = configuration.cold_start_by_service
         self.stores.adopt(configuration)
         self.state.emit(commands.Note("configuration", str(configuration.version)))
-        self.membership.spread(now)
+        self.membership.start_round(now)
 
     def _tick(self, now):
         if self.forwarding.configuration is None:
             # The platform may refuse to answer this host, but peers may have a
             # configuration.
-            self.membership.spread(now)
+            self.membership.start_round(now)
         self.weights.tick(now)
         self.crashes.tick(now)
         self.quarantine.tick(now)
@@ -250,7 +250,7 @@
         self.rollout.tick(now)
         self.forwarding.tick(now)
         if self.lease.is_held(now):
-            self.stores.free_replaced(self._salt_may_be_in_use, now)
+            self.stores.free_superseded(self._salt_may_be_in_use, now)
 
     def _announce_when_ready(self, now):
         """Publish this host's URL to peers and callers once it can serve requests.
@@ -267,7 +267,7 @@
         self.state.note_view_change()
         self.state.emit(commands.Note("ready", me.name))
         self.state.emit(BecameReady())
-        self.membership.spread(now)
+        self.membership.start_round(now)
 
     def _salt_may_be_in_use(self, salt):
         """Return whether a salt may belong to weights that a target runs.
--- a/packages/decide/sesamespindle/decide/gossip.py
+++ b/packages/decide/sesamespindle/decide/gossip.py
@@ -7,7 +7,7 @@
 import dataclasses
 import datetime
 
-from sesamespindle.decide import events, lives, namings
+from sesamespindle.decide import announcements, events, incarnations
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -66,7 +66,7 @@
     the message applies only to a target that is still at `url`.
     """
 
-    life: lives.Life
+    incarnation: incarnations.TargetIncarnation
     url: str
 
 
@@ -89,7 +89,7 @@
         sender knew.
     """
 
-    life: lives.Life
+    incarnation: incarnations.TargetIncarnation
     model: str
     version: int
     revision: int = 0
@@ -107,7 +107,7 @@
         Tokens of KV cache that the sender's requests need until they end.
     """
 
-    life: lives.Life
+    incarnation: incarnations.TargetIncarnation
     tokens: int
     held_tokens: int = 0
 
@@ -136,7 +136,7 @@
         Identifies the start of the store that `position` counts from.
     position : int
         The store's latest change that the sender knows.
-    told_at : datetime.datetime
+    checked_at : datetime.datetime
         When the sender or another host last found out whether the store responds.
     is_silent : bool
         Whether the store did not respond then.
@@ -148,7 +148,7 @@
     store: str
     boot: int
     position: int
-    told_at: datetime.datetime
+    checked_at: datetime.datetime
     is_silent: bool
     clock_lead: float | None = None
 
@@ -193,7 +193,7 @@
         Whether the incarnation turned out to be still running.
     """
 
-    life: lives.Life
+    incarnation: incarnations.TargetIncarnation
     service: str
     at: datetime.datetime
     suspects: tuple[str, ...]
@@ -273,7 +273,7 @@
     lease_release: LeaseRelease | None = None
     pending: tuple[PendingWork, ...] = ()
     brief: bool = False
-    named: tuple[namings.Naming, ...] = ()
+    named: tuple[announcements.Naming, ...] = ()
     store_words: tuple[StoreWord, ...] = ()
     store_news: tuple[StoreNews, ...] = ()
     crash_news: CrashNews = CrashNews()
--- a/packages/decide/sesamespindle/decide/lives.py
+++ b/packages/decide/sesamespindle/decide/incarnations.py
@@ -4,7 +4,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Life:
+class TargetIncarnation:
     """One incarnation of a target.
 
     A target may restart under the same name, and has then lost all its state. So all
--- a/packages/decide/sesamespindle/decide/kvstores.py
+++ b/packages/decide/sesamespindle/decide/kvstores.py
@@ -128,14 +128,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class StoreHeard:
+class StoreRefused:
     """A store refused a request for what it holds, which shows that it responds."""
 
     store: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class StoreSilent:
+class StoreUnavailable:
     """A store did not answer."""
 
     store: str
@@ -340,7 +340,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class FollowStores:
+class StoresConfigured:
     """The KV stores of the active configuration.
 
     A host follows those of them that `storerelay.StoreRelay.followed` names.
@@ -421,18 +421,18 @@
                 self.rows.add(StoreRow(name, store))
             else:
                 row.store = store
-        self._state.emit(FollowStores(tuple(self.rows)))
+        self._state.emit(StoresConfigured(tuple(self.rows)))
 
-    def take(self, event, now):
+    def handle(self, event, now):
         """Process an event of this module; return False for any other event."""
         match event:
             case StoreChanged():
                 self._apply_change(event, now)
-            case StoreHeard():
+            case StoreRefused():
                 row = self.rows.get(event.store)
                 if row is not None and row.heard_at is not None:
                     row.note_status(now, False, None)
-            case StoreSilent():
+            case StoreUnavailable():
                 row = self.rows.get(event.store)
                 if row is not None and row.heard_at is not None:
                     row.note_status(now, True, None)
@@ -520,7 +520,7 @@
     def _available_rows(self, now):
         return [row for row in self.rows if row.store.managed and row.is_available(now)]
 
-    def free_replaced(self, kept_salts, now):
+    def free_superseded(self, kept_salts, now):
         """Request that stores free the parts of weights that no engine runs.
 
         Parameters
--- a/packages/decide/sesamespindle/decide/lease.py
+++ b/packages/decide/sesamespindle/decide/lease.py
@@ -187,7 +187,7 @@
         """
         return self.is_held(now) and not self._maybe_idle
 
-    def ask_to_act(self, now):
+    def request_act(self, now):
         """Request that this host may act as soon as it holds the lease.
 
         A held lease that is idle is written as not idle at once.
@@ -215,7 +215,7 @@
         elif now - self._held_from >= self._duration * _RENEW_SHARE:
             self._renew(now)
 
-    def take(self, event, now):
+    def handle(self, event, now):
         """Handle one of this module's events; return whether it was one."""
         match event:
             case LeaseFound():
@@ -233,7 +233,7 @@
                 return False
         return True
 
-    def give_back(self, now):
+    def release_for_good(self, now):
         """Release the lease for good, as this host leaves.
 
         Other hosts still wait until its last act is a lease duration old.
--- a/packages/decide/sesamespindle/decide/membership.py
+++ b/packages/decide/sesamespindle/decide/membership.py
@@ -62,12 +62,12 @@
     seeds : tuple of str
         Peer addresses to gossip with while there is no known peer, as after a start
         while the platform is unavailable.
-    contradicts : bool
+    raises_incarnation : bool
         Whether this daemon raises its incarnation above the one that peers remember
         of an earlier process of its own. Must be false where the incarnation is used
         outside gossip: slices, claims and tickets are stored under the incarnation
         that the daemon started with.
-    gives_up_early : bool
+    probes_at_start : bool
         Whether a peer that this daemon has never heard from is contacted in every
         round, and is considered dead once it has left a few rounds unanswered. Must
         be false where a death frees something that the host may still use: a new
@@ -83,8 +83,8 @@
         self,
         state,
         seeds=(),
-        contradicts=True,
-        gives_up_early=True,
+        raises_incarnation=True,
+        probes_at_start=True,
         store_relay=None,
         quarantine=None,
     ):
@@ -95,8 +95,8 @@
         self._informed_incarnation_by_peer = {}
         self._store_relay = store_relay
         self._seeds = seeds
-        self._contradicts = contradicts
-        self._gives_up_early = gives_up_early
+        self._raises_incarnation = raises_incarnation
+        self._probes_at_start = probes_at_start
         self._interval = state.policy.suspect_after / ROUNDS_BEFORE_SUSPICION
         self._probes = startupprobes.StartupProbes(self._interval)
         self._next_round = None
@@ -113,29 +113,31 @@
         """Check which peers don't respond, and start a gossip round when one is due."""
         self._probes.tick(now)
         self._check_responses(now)
-        is_urgent = self._urgent or self._state.tells_crashes
+        is_urgent = self._urgent or self._state.must_announce_crashes
         if self._next_round is None or now >= self._next_round or is_urgent:
             self._next_round = now + self._interval
-            self.spread(now)
-        elif self._state.tells_pending:
+            self.start_round(now)
+        elif self._state.must_announce_pending:
             self._send_pending_work()
 
-    def tell_crashes(self, now):
+    def gossip_crashes(self, now):
         """Start a gossip round between two ticks if there is a crash to announce.
 
         Guards against a request that crashes one target on each host: copies of it
         reach other hosts within the tenths of a second that an update takes if it
         waits for ticks. Peers that learn of the crash at once can refuse the copies.
         """
-        if not self._state.tells_crashes:
+        if not self._state.must_announce_crashes:
             return
         if self._last_round_at is None or now - self._last_round_at >= _CRASH_ROUND_GAP:
-            self.spread(now)
+            self.start_round(now)
 
-    def spread(self, now):
+    def start_round(self, now):
         """Start a gossip round with a few peers."""
         self._last_round_at = now
-        self._urgent = self._state.tells_pending = self._state.tells_crashes = False
+        self._urgent = self._state.must_announce_pending = (
+            self._state.must_announce_crashes
+        ) = False
         me = self._state.entries.get(self._state.me.name)
         me.heartbeat += 1
         self._raise_pulse(me)
@@ -158,7 +160,7 @@
         other engines idle: without this message a host knows of the prompts of
         others only after their next gossip round.
         """
-        self._state.tells_pending = False
+        self._state.must_announce_pending = False
         message = self._pending_work_message()
         for row in self._sample(self._present_peers_inside(), PEERS_INSIDE):
             self._state.emit(commands.GossipTo(row.peer_address, message))
@@ -178,7 +180,7 @@
         me.state = _State.LEAVING
         self._state.note_view_change()
         self._state.emit(commands.Note("leaving", me.name))
-        self.spread(now)
+        self.start_round(now)
 
     def end(self):
         """Mark the departure as over: the daemon accepts and sends nothing more."""
@@ -187,13 +189,13 @@
                 self._state.departure, is_over=True
             )
 
-    def has_left(self, now):
+    def announce_departure(self, now):
         """Announce to peers that this daemon has left and runs nothing any more."""
         self.end()
         me = self._state.entries.get(self._state.me.name)
         me.state = _State.LEFT
         self._state.note_view_change()
-        self.spread(now)
+        self.start_round(now)
 
     def receive(self, event, now):
         """Answer a peer's gossip message with the records that the peer lacks."""
@@ -216,7 +218,7 @@
         )
         self._state.emit(commands.GossipReply(event.exchange_id, reply))
 
-    def answered(self, event, now):
+    def receive_reply(self, event, now):
         """Merge a peer's reply, and send the peer the records that it asked for."""
         self._note_heard(event.message)
         if event.message.brief:
@@ -268,7 +270,7 @@
         )
         return sum(min(WATCHERS, count) for count in counts.values())
 
-    def spread_soon(self):
+    def request_round(self):
         """Have the next tick start a gossip round, because something has changed."""
         self._urgent = True
 
@@ -290,7 +292,7 @@
         show that there was a change.
         """
         for item in seen:
-            if item.revision > self._state.covered_by_kind.get(item.kind, 0):
+            if item.revision > self._state.known_revision_by_kind.get(item.kind, 0):
                 self._state.emit(
                     commands.ReadAgain(item.kind, item.revision, peer_address)
                 )
@@ -336,7 +338,7 @@
         chosen = self._sample(inside, PEERS_INSIDE) + self._choose_outside()
         if dead and state.random.random() < _CONTACT_DEAD_CHANCE:
             chosen += self._sample(dead, 1)
-        if self._gives_up_early:
+        if self._probes_at_start:
             probed = self._probes.start_round(inside + dead, now)
             chosen += [row for row in probed if row not in chosen]
         peers = [(row.peer_address, row.data_centre == here) for row in chosen]
@@ -422,12 +424,12 @@
         state = self._state
         crash_news = gossip.CrashNews()
         if self._quarantine is not None:
-            crash_news = self._quarantine.told(is_newly_met)
+            crash_news = self._quarantine.records_to_announce(is_newly_met)
         digests = store_words = store_news = ()
         if inside and self._store_relay is not None:
-            store_words = self._store_relay.words(their_words or ())
+            store_words = self._store_relay.states_for(their_words or ())
             if store_words and their_words is not None:
-                store_news = self._store_relay.news_for(their_words)
+                store_news = self._store_relay.updates_for(their_words)
         if inside:
             digests = tuple(
                 gossip.MemberDigest(row.name, row.incarnation, row.heartbeat)
@@ -444,12 +446,12 @@
             state.revision,
             tuple(
                 gossip.SeenRevision(kind, revision)
-                for kind, revision in state.seen_by_kind.items()
+                for kind, revision in state.last_change_by_kind.items()
             ),
             self._target_versions(),
             state.lease_release,
             self._pending(),
-            named=state.namings.told,
+            named=state.announcements.told,
             store_words=store_words,
             store_news=store_news,
             crash_news=crash_news,
@@ -459,7 +461,7 @@
         """Return this daemon's pending work at targets, by falling prompt tokens."""
         pending = [
             gossip.PendingWork(
-                row.life,
+                row.incarnation,
                 sum(work.tokens for work in row.sent_by_request.values()),
                 sum(row.held_by_request.values()),
             )
@@ -477,7 +479,7 @@
         target's record on the platform, or from the target when it refuses a request.
         """
         versions = [
-            gossip.TargetVersion(row.life, model, version, row.revision)
+            gossip.TargetVersion(row.incarnation, model, version, row.revision)
             for row in self._state.targets
             if row.version_rounds
             for model, version in row.version_by_model.items()
@@ -486,7 +488,7 @@
 
     def _leaving_targets(self):
         leaving = [
-            gossip.LeavingTarget(row.life, row.url)
+            gossip.LeavingTarget(row.incarnation, row.url)
             for row in self._state.targets
             if row.leaving
         ]
@@ -541,16 +543,16 @@
         self._merge_release(message.lease_release)
         self._merge_pending(message, now)
         if self._store_relay is not None:
-            self._store_relay.hear(message)
+            self._store_relay.merge(message)
         if self._quarantine is not None:
-            self._quarantine.hear(message.crash_news, now)
+            self._quarantine.merge(message.crash_news, now)
 
     def _merge_pending(self, message, now):
         """Replace the sender's pending work at each target by that in its message."""
         for row in self._state.targets:
             row.peer_work_by_entry.pop(message.sender, None)
         for item in message.pending:
-            row = self._state.target_in(item.life)
+            row = self._state.target_in(item.incarnation)
             if row is not None:
                 work = world.SentWork(now, item.tokens, item.held_tokens)
                 row.peer_work_by_entry[message.sender] = work
@@ -565,7 +567,7 @@
 
     def _merge_version(self, running):
         """Learn a target's version, unless its record has listed an older one since."""
-        row = self._state.target_in(running.life)
+        row = self._state.target_in(running.incarnation)
         if row is not None and running.revision >= row.fell_at_revision:
             row.learn_version(running.model, running.version)
 
@@ -588,7 +590,7 @@
             self._pulse_heard_at[digest.name] = now
 
     def _merge_leaving(self, leaving):
-        row = self._state.target_in(leaving.life)
+        row = self._state.target_in(leaving.incarnation)
         if row is not None and not row.leaving and row.url == leaving.url:
             row.leaving = True
             self._urgent = True
@@ -670,7 +672,7 @@
         """
         me = self._state.entries.get(member.name)
         if member.incarnation > me.incarnation:
-            if self._contradicts and member.peer_address == me.peer_address:
+            if self._raises_incarnation and member.peer_address == me.peer_address:
                 me.incarnation = member.incarnation + 1
                 self._state.note_view_change()
                 self._urgent = True
--- a/packages/decide/sesamespindle/decide/placement.py
+++ b/packages/decide/sesamespindle/decide/placement.py
@@ -190,7 +190,7 @@
     """Return the expected seconds to a prompt's first token at an engine."""
     seconds = effort.prefill_tokens / PREFILL_TOKENS_PER_SECOND
     seconds += effort.transfer_seconds + _queue_seconds(row, waiting)
-    if row.switching_until is not None and now < row.switching_until:
+    if row.loading_until is not None and now < row.loading_until:
         seconds += _LOADING_WAIT_SECONDS
     return seconds
 
@@ -226,7 +226,7 @@
     return _LATE_COST * min(max(share, 0.0), 1.0)
 
 
-def choose_plain(rows, data_centre, now):
+def choose_service_target(rows, data_centre, now):
     """Return the target of a plain service with the least expected wait, or None.
 
     Parameters
--- a/packages/decide/sesamespindle/decide/promptplacing.py
+++ b/packages/decide/sesamespindle/decide/promptplacement.py
@@ -29,9 +29,9 @@
         Keeps KV cache of other weights and isolated accounts apart, see `_salt`.
     transfers : kvstores.Transfers
         Where the engine fetches and saves the prompt's parts.
-    read_tokens : int
+    prefill_tokens : int
         Tokens that the engine is expected to prefill.
-    at_home : bool
+    at_preferred_engine : bool
         Whether the engine is the preferred one of the prompt's context.
     """
 
@@ -39,11 +39,11 @@
     version: int
     salt: str
     transfers: kvstores.Transfers
-    read_tokens: int
-    at_home: bool
+    prefill_tokens: int
+    at_preferred_engine: bool
 
 
-class PromptPlacing:
+class PromptPlacement:
     """Selects engines by the KV cache that engines and stores hold.
 
     Parameters
@@ -61,7 +61,7 @@
         self._weights = weights
         self._stores = stores
 
-    def timely(self, flight, engines, rows, now):
+    def engines_in_time(self, flight, engines, rows, now):
         """Return the engines where a prompt can begin before their weights' deadline.
 
         Only superseded weights have a deadline, see `weights.Replacement`.
@@ -120,7 +120,7 @@
         transfers = self._stores.plan(
             engines, row, preferred, salt, request.prompt, now
         )
-        row.note_read(salt, request.prompt[:-1], engines.kv_capacity)
+        row.note_cached(salt, request.prompt[:-1], engines.kv_capacity)
         return Place(
             row, version, salt, transfers, effort.prefill_tokens, row is preferred
         )
@@ -173,12 +173,12 @@
         seconds, uncached_tokens = 0.0, request.prompt_tokens
         for part in request.prompt[:-1]:
             key = salt, part.part_id
-            if key not in row.read_parts:
+            if key not in row.cached_parts:
                 import_seconds = import_times.seconds(salt, part, row.data_centre)
                 if (
                     import_seconds is None
                     and preferred is not None
-                    and key in preferred.read_parts
+                    and key in preferred.cached_parts
                 ):
                     import_seconds = kvstores.engine_transfer_seconds(
                         engines, preferred, row, part.tokens
--- a/packages/decide/sesamespindle/decide/prompts.py
+++ b/packages/decide/sesamespindle/decide/prompts.py
@@ -9,7 +9,7 @@
     contexts,
     events,
     hashing,
-    lives,
+    incarnations,
     refusals,
     retries,
     routing,
@@ -29,7 +29,7 @@
     ids : tuple of str
         The ids of its KV cache blocks. Each id depends on all text up to the end of its
         block.
-    home_key : str
+    affinity_key : str
         What rendezvous hashing ranks the engines by: the account and the context.
     attempt : int
         The number of the last attempt, counting starts and resumes.
@@ -51,7 +51,7 @@
     model: str
     pool: str
     ids: tuple[str, ...]
-    home_key: str
+    affinity_key: str
     tokens: int
     arrived_at: datetime.datetime
     deadline: datetime.datetime
@@ -67,7 +67,7 @@
     version: str = ""
     fingerprint: str = ""
     # The target incarnation that the prompt was last sent to, and when.
-    life: lives.Life | None = None
+    incarnation: incarnations.TargetIncarnation | None = None
     sent_at: datetime.datetime | None = None
 
 
@@ -190,7 +190,7 @@
             row.version = row.version or target.version
             catalogue.note_success(target)
         if row.sent_at is not None:
-            self._crashes.answered(row.life, row.sent_at)
+            self._crashes.record_answer(row.incarnation, row.sent_at)
         self.contexts.learn(row.ids, row.target, now)
 
     def end_attempt(self, event, now):
@@ -239,20 +239,26 @@
             return
         match ending:
             case events.Ending.COMPLETED:
-                self._quarantine.served(row.fingerprint, now)
+                self._quarantine.record_success(row.fingerprint, now)
             case events.Ending.REFUSED:
-                self._crashes.answered(row.life, row.sent_at)
+                self._crashes.record_answer(row.incarnation, row.sent_at)
             case events.Ending.LINK_LOST:
-                self._crashes.broke(row.fingerprint, row.life, row.sent_at, now)
+                self._crashes.record_broken_run(
+                    row.fingerprint, row.incarnation, row.sent_at, now
+                )
             case events.Ending.TIMED_OUT:
-                self._crashes.left(row.fingerprint, row.life, now)
+                self._crashes.record_abandoned_run(
+                    row.fingerprint, row.incarnation, now
+                )
 
     def leave(self, request_id, now):
         """Remove a prompt whose caller has left or has its answer."""
         row = self.rows.get(request_id)
         if row is not None:
             if row.sent_at is not None:
-                self._crashes.left(row.fingerprint, row.life, now)
+                self._crashes.record_abandoned_run(
+                    row.fingerprint, row.incarnation, now
+                )
             self._remove(row, now)
             self.drain(now)
 
@@ -305,10 +311,12 @@
         """Send a prompt to a target, or refuse it if none can start it in time."""
         state = self._state
 
-        def narrow(targets):
-            return self._quarantine.narrow(row.fingerprint, targets, now)
+        def permitted_targets(targets):
+            return self._quarantine.permitted_targets(row.fingerprint, targets, now)
 
-        place = routing.choose(state, row, self.contexts, now, row.tried, narrow)
+        place = routing.choose(
+            state, row, self.contexts, now, row.tried, permitted_targets
+        )
         if place is None:
             self._give_up(
                 row,
@@ -338,7 +346,7 @@
         row.resumes = 0
         row.target = target.name
         row.tried.add(target.name)
-        row.life, row.sent_at = self._crashes.life_of(target), now
+        row.incarnation, row.sent_at = self._crashes.incarnation_of(target), now
         target.running_here += 1
         target.sent_by_request[row.request_id] = world.SentWork(
             now, row.tokens - place.reused_tokens
@@ -419,7 +427,10 @@
             self._give_up(row, commands.Code.DEADLINE, "The deadline has passed.", now)
         elif row.resume_target:
             self._refuse_taken_over(row, now)
-        elif row.may_have_run and self._quarantine.suspicion(row.fingerprint) > 1:
+        elif (
+            row.may_have_run
+            and self._quarantine.possible_crash_count(row.fingerprint) > 1
+        ):
             self._give_up(
                 row,
                 commands.Code.SUSPECTED,
--- a/packages/decide/sesamespindle/decide/quarantine.py
+++ b/packages/decide/sesamespindle/decide/quarantine.py
@@ -55,17 +55,17 @@
 class WriteQuarantine:
     """Write a record to the platform.
 
-    `QuarantineWritten` or `QuarantineUnwritten` follows, or `QuarantineRead` if the
+    `QuarantineWritten` or `QuarantineWriteFailed` follows, or `QuarantineRead` if the
     platform has another revision of the record.
 
     Attributes
     ----------
-    is_try : bool
+    is_trial : bool
         Whether this host may run the request once as a trial after the write.
     """
 
     record: gossip.QuarantinedRequest
-    is_try: bool = False
+    is_trial: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -80,11 +80,11 @@
     """The platform has stored a record, under the revision that the record bears."""
 
     record: gossip.QuarantinedRequest
-    is_try: bool = False
+    is_trial: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class QuarantineUnwritten:
+class QuarantineWriteFailed:
     """A write failed or its result is unknown; the platform may lack the record."""
 
     fingerprint: str
@@ -141,14 +141,14 @@
         The shared tables.
     crashes : crashes.Crashes
         The crashes, with the requests suspected of them.
-    is_written : bool
+    stored_on_platform : bool
         Whether records are stored on the platform. Otherwise the hosts alone keep
         them, in memory.
     """
 
-    def __init__(self, state, crashes, is_written=True):
+    def __init__(self, state, crashes, stored_on_platform=True):
         self._state = state
-        self._platform_stores = is_written
+        self._platform_stores = stored_on_platform
         self._crashes = crashes
         self.record_by_fingerprint = {}
         # When this host learned of records that the platform may lack, by fingerprint.
@@ -158,15 +158,15 @@
         # Fingerprints of requests that this host lets through once, as a trial run.
         self._pending_trials = set()
 
-    def take(self, event, now):
+    def handle(self, event, now):
         """Handle one of this module's events; return whether the event was one."""
         match event:
             case QuarantineRead():
                 self._adopt(event.record, now, "read from the platform or a peer")
             case QuarantineWritten():
                 self._adopt_written(event, now)
-            case QuarantineUnwritten():
-                self._next_write_at[event.fingerprint] = now + retries.spread(
+            case QuarantineWriteFailed():
+                self._next_write_at[event.fingerprint] = now + retries.with_jitter(
                     _WRITE_TURN, self._state.random
                 )
             case QuarantineLifted():
@@ -216,9 +216,9 @@
         )
 
     def _refuse(self, code, message, base):
-        return Refusal(code, message, retries.spread(base, self._state.random))
+        return Refusal(code, message, retries.with_jitter(base, self._state.random))
 
-    def suspicion(self, fingerprint):
+    def possible_crash_count(self, fingerprint):
         """Return the number of targets that may have crashed because of a request.
 
         It includes possible crashes that are not yet confirmed.
@@ -230,7 +230,7 @@
         unsure = self._crashes.possible_crashes(fingerprint)
         return len(self._counted_crashes(fingerprint)) + unsure
 
-    def narrow(self, fingerprint, rows, now):
+    def permitted_targets(self, fingerprint, rows, now):
         """Return the target at which a suspect may run, or all for other requests.
 
         Guards against copies of one request that arrive at many hosts at once and
@@ -254,10 +254,12 @@
         rows : list of world.TargetRow
             All of `rows` for a request that isn't suspected, else one or none.
         """
-        if not rows or not self.suspicion(fingerprint):
+        if not rows or not self.possible_crash_count(fingerprint):
             return rows
-        life_of = self._crashes.life_of
-        alive = [row for row in rows if not self._crashes.has_crashed(life_of(row))]
+        incarnation_of = self._crashes.incarnation_of
+        alive = [
+            row for row in rows if not self._crashes.has_crashed(incarnation_of(row))
+        ]
         row_by_name = {row.name: row for row in alive or rows}
         names = set(row_by_name)
         if self._needs_own_target(fingerprint):
@@ -290,9 +292,9 @@
         crashes = self._counted_crashes(fingerprint)
         return len(self._uncorrelated_crashes(fingerprint, crashes)) >= _OWN_TARGET_FROM
 
-    def served(self, fingerprint, now):
+    def record_success(self, fingerprint, now):
         """Record a successful run; it ends a quarantine of the request."""
-        self._crashes.served(fingerprint, now)
+        self._crashes.record_success(fingerprint, now)
         if fingerprint in self.record_by_fingerprint:
             self._lift(fingerprint, now)
             self._state.emit(RemoveQuarantine(fingerprint))
@@ -377,7 +379,7 @@
             and not other.is_refuted
             and not self._is_explained(other)
             and not self._has_other_suspect(other, _QUARANTINED_FROM, fingerprint)
-            for other in self._crashes.crash_by_life.values()
+            for other in self._crashes.crash_by_incarnation.values()
         )
 
     def _has_other_suspect(self, crash, crashes, excluded):
@@ -413,7 +415,7 @@
             self._learned_at_by_fingerprint.pop(fingerprint, None)
         else:
             self._learned_at_by_fingerprint.setdefault(fingerprint, now)
-        self._state.tells_crashes = True
+        self._state.must_announce_crashes = True
         if known is None:
             self._state.emit(commands.Note("request_quarantined", fingerprint, reason))
             self._drop_oldest()
@@ -477,7 +479,7 @@
 
     def _adopt_written(self, event, now):
         self._adopt(event.record, now, "written to the platform")
-        if event.is_try:
+        if event.is_trial:
             self._pending_trials.add(event.record.fingerprint)
 
     def _start_trial(self, record, now):
@@ -497,7 +499,7 @@
             return
         self._next_write_at[fingerprint] = now + _WRITE_TURN
         counted = dataclasses.replace(record, tries=record.tries + 1)
-        self._state.emit(WriteQuarantine(counted, is_try=True))
+        self._state.emit(WriteQuarantine(counted, is_trial=True))
 
     def records(self):
         """Return the `gossip.QuarantinedRequest` of all quarantined requests."""
@@ -509,7 +511,7 @@
 
     # Gossip with peers.
 
-    def told(self, whole):
+    def records_to_announce(self, whole):
         """Return the `gossip.CrashNews` to send to a peer.
 
         Parameters
@@ -518,7 +520,7 @@
             Whether to send all known crashes and all requests known to be cleared, as
             to a peer that has just started, and not only those still announced.
         """
-        crashes, cleared = self._crashes.told(whole)
+        crashes, cleared = self._crashes.records_to_announce(whole)
         records = tuple(self.record_by_fingerprint.values())
         return gossip.CrashNews(crashes, cleared, records[-_MAX_ANNOUNCED:])
 
@@ -526,9 +528,9 @@
         """Count a gossip round in which the recent records were announced."""
         self._crashes.note_round()
 
-    def hear(self, news, now):
+    def merge(self, news, now):
         """Merge a `gossip.CrashNews` received from a peer."""
-        self._crashes.hear(news.crashes, news.cleared)
+        self._crashes.merge(news.crashes, news.cleared)
         for cleared in news.cleared:
             record = self.record_by_fingerprint.get(cleared.fingerprint)
             if record is not None and record.decided_at <= cleared.at:
@@ -550,5 +552,5 @@
 
 
 def _describe(crashes):
-    names = ", ".join(sorted(crash.life.name for crash in crashes))
+    names = ", ".join(sorted(crash.incarnation.name for crash in crashes))
     return f"{len(crashes)} targets crashed while running it: {names}"
--- a/packages/decide/sesamespindle/decide/readings.py
+++ b/packages/decide/sesamespindle/decide/readings.py
@@ -47,11 +47,11 @@
 
         Returns
         -------
-        event : weights.VersionNamed or weights.VersionFound
+        event : weights.VersionAnnounced or weights.VersionFound
             The former if the version counts as announced now.
         """
         if self.is_just_now:
-            return weights.VersionNamed(model, version)
+            return weights.VersionAnnounced(model, version)
         return weights.VersionFound(model, version, self.not_there_at)
 
 
--- a/packages/decide/sesamespindle/decide/refusals.py
+++ b/packages/decide/sesamespindle/decide/refusals.py
@@ -56,5 +56,5 @@
 
 
 def _refuse(state, request_id, code, outcome, message, wait):
-    retry_after = retries.spread(wait, state.random) if wait else None
+    retry_after = retries.with_jitter(wait, state.random) if wait else None
     state.emit(commands.Refuse(request_id, code, outcome, message, retry_after))
--- a/packages/decide/sesamespindle/decide/retries.py
+++ b/packages/decide/sesamespindle/decide/retries.py
@@ -53,7 +53,7 @@
         return True
 
 
-def spread(base, random):
+def with_jitter(base, random):
     """Return a uniformly distributed random time from `base` to 1.5 times `base`.
 
     Parameters
@@ -79,10 +79,10 @@
         The shortest delay before attempt 2. It doubles for each later attempt, up to
         64 times.
     """
-    return spread(first * (2 ** min(attempt - 2, 6)), random)
+    return with_jitter(first * (2 ** min(attempt - 2, 6)), random)
 
 
-def outage_pause(failures, random):
+def outage_backoff(failures, random):
     """Return the delay before the next call to the platform after failed ones.
 
     Guards against hosts that keep calling a platform which refuses them: without
@@ -98,4 +98,4 @@
         The seeded source.
     """
     doublings = min(max(0, failures - _QUICK_RETRIES), _MAX_DOUBLINGS)
-    return spread(_OUTAGE_PAUSE * 2**doublings, random)
+    return with_jitter(_OUTAGE_PAUSE * 2**doublings, random)
--- a/packages/decide/sesamespindle/decide/rollout.py
+++ b/packages/decide/sesamespindle/decide/rollout.py
@@ -9,7 +9,7 @@
 import dataclasses
 import datetime
 
-from sesamespindle.decide import commands, lives
+from sesamespindle.decide import commands, incarnations
 
 # Share of a service's engines that load weights at once. Loads slow down when more
 # than two fifths of the engines load.
@@ -96,7 +96,7 @@
     version_by_model : dict of str to int
         The weight versions that it runs.
     born : int
-        The start of its incarnation, as in `lives.Life`.
+        The start of its incarnation, as in `incarnations.TargetIncarnation`.
     """
 
     target: str
@@ -119,7 +119,7 @@
 
     Attributes
     ----------
-    life : lives.Life
+    incarnation : incarnations.TargetIncarnation
         The engine's incarnation.
     model, version : str, int
         What it was last ordered to load, or is to be ordered to.
@@ -145,7 +145,7 @@
         Whether the event log has a note that the latest order is in doubt.
     """
 
-    life: lives.Life
+    incarnation: incarnations.TargetIncarnation
     model: str
     version: int
     slot_since: datetime.datetime | None
@@ -184,7 +184,7 @@
             self._loading_by_target.clear()
             return
         for name, loading in list(self._loading_by_target.items()):
-            row = self._state.target_in(loading.life)
+            row = self._state.target_in(loading.incarnation)
             if row is None or self._is_finished(row, loading, now):
                 del self._loading_by_target[name]
             else:
@@ -193,9 +193,9 @@
             self._start_loads(model, now)
         if self._loading_by_target:
             # The reports are read while the lease is being made active for orders.
-            self._lease.ask_to_act(now)
+            self._lease.request_act(now)
 
-    def take(self, event, now):
+    def handle(self, event, now):
         """Process an event of this module; return False for any other event."""
         match event:
             case Reported():
@@ -275,7 +275,7 @@
     def _assign_slot(self, row, model, now):
         loading = self._loading_by_target.get(row.name)
         if loading is None:
-            loading = _Loading(row.life, model, self._weights.named(model), now)
+            loading = _Loading(row.incarnation, model, self._weights.named(model), now)
             self._loading_by_target[row.name] = loading
         loading.slot_since, loading.first_ordered_at = now, None
         self._request_report(row, loading, now)
@@ -288,7 +288,9 @@
             reason = "its order is in doubt"
         loading.slot_since, loading.set_aside_at = None, now
         loading.loading_seen_at = None
-        self._state.emit(commands.Note("place_given_up", loading.life.name, reason))
+        self._state.emit(
+            commands.Note("place_given_up", loading.incarnation.name, reason)
+        )
 
     def _follow(self, row, loading, now):
         self._note_doubt(loading, now)
@@ -306,7 +308,7 @@
         if now - loading.ordered_at >= _ORDER_DOUBT_AFTER:
             loading.doubt_noted = True
             detail = f"version {loading.version} after {loading.ordered_after} orders"
-            note = commands.Note("order_in_doubt", loading.life.name, detail)
+            note = commands.Note("order_in_doubt", loading.incarnation.name, detail)
             self._state.emit(note)
 
     def _note_loading(self, loading, now):
@@ -314,32 +316,38 @@
         loading.loading_seen_at = now
         if loading.slot_since is None:
             loading.slot_since = now
-            self._state.emit(commands.Note("late_load", loading.life.name))
+            self._state.emit(commands.Note("late_load", loading.incarnation.name))
 
     def _request_report(self, row, loading, now):
         loading.report_requested_at = now
         self._state.emit(ReadReport(row.name, row.url))
 
     def _reported(self, event, now):
-        row = self._state.target_in(lives.Life(event.target, event.born))
+        row = self._state.target_in(
+            incarnations.TargetIncarnation(event.target, event.born)
+        )
         if row is None:
             # The report is of an incarnation that has ended or isn't listed yet.
             return
         for model, version in event.version_by_model.items():
             row.learn_version(model, version)
         loading = self._loading_by_target.get(event.target)
-        if loading is None or loading.life != row.life or not self._lease.is_held(now):
+        if (
+            loading is None
+            or loading.incarnation != row.incarnation
+            or not self._lease.is_held(now)
+        ):
             return
         if not self._is_behind(row, loading.model):
             del self._loading_by_target[event.target]
-            row.switching_until = None
+            row.loading_until = None
             self._state.emit(
                 commands.Note("version_loaded", row.name, str(loading.version))
             )
             return
         loading.order_due_after = None
         if event.busy:
-            row.switching_until = now + 2 * _REPORT_INTERVAL
+            row.loading_until = now + 2 * _REPORT_INTERVAL
             self._note_loading(loading, now)
             return
         loading.loading_seen_at = None
@@ -375,7 +383,7 @@
         loading.ordered_at = now
         loading.ordered_after = orders
         loading.version = version
-        row.switching_until = now + 2 * _REPORT_INTERVAL
+        row.loading_until = now + 2 * _REPORT_INTERVAL
         self._state.emit(
             OrderVersion(
                 row.name,
--- a/packages/decide/sesamespindle/decide/routing.py
+++ b/packages/decide/sesamespindle/decide/routing.py
@@ -50,7 +50,7 @@
     reused_tokens: int
 
 
-def choose(state, row, contexts, now, avoid=(), narrow=None):
+def choose(state, row, contexts, now, avoid=(), permitted_targets=None):
     """Return the best place for a prompt, or None where no target is usable.
 
     Parameters
@@ -66,7 +66,7 @@
         The current time.
     avoid : collection of str
         Names of targets that are used only if there is no other.
-    narrow : callable, optional
+    permitted_targets : callable, optional
         Takes a list of targets and returns those that may be used.
     """
     usable = [
@@ -75,8 +75,8 @@
         if target.usable(now) and _version_matches(target, row)
     ]
     candidates = [target for target in usable if target.name not in avoid] or usable
-    if narrow is not None:
-        candidates = narrow(candidates)
+    if permitted_targets is not None:
+        candidates = permitted_targets(candidates)
     if not candidates:
         return None
     reused_by_target = contexts.reusable_tokens(row.ids, now)
@@ -113,7 +113,7 @@
     return best
 
 
-def choose_service(state, pool, now, avoid=(), narrow=None):
+def choose_service(state, pool, now, avoid=(), permitted_targets=None):
     """Return the nearest usable target of a service pool, or None.
 
     Of equally near targets it is the one with the fewest calls from this host.
@@ -128,7 +128,7 @@
         The current time.
     avoid : collection of str
         Names of targets that are left out.
-    narrow : callable, optional
+    permitted_targets : callable, optional
         Takes a list of targets and returns those that may be used.
     """
     candidates = [
@@ -136,8 +136,8 @@
         for target in state.targets.where("pool", pool)
         if target.usable(now) and target.name not in avoid
     ]
-    if narrow is not None:
-        candidates = narrow(candidates)
+    if permitted_targets is not None:
+        candidates = permitted_targets(candidates)
     return min(
         candidates,
         key=lambda target: (
@@ -168,4 +168,4 @@
     if reused_by_target:
         return None
     place_by_name = {place.target.name: place for place in places}
-    return place_by_name[hashing.first(row.home_key, place_by_name)]
+    return place_by_name[hashing.first(row.affinity_key, place_by_name)]
--- a/packages/decide/sesamespindle/decide/sendlog.py
+++ b/packages/decide/sesamespindle/decide/sendlog.py
@@ -14,7 +14,7 @@
         The request.
     row : world.TargetRow
         The target that was chosen.
-    place : promptplacing.Place or None
+    place : promptplacement.Place or None
         The placement of a prompt; None for a call to a plain service.
     replaced : weights.Replacement or None
         What superseded the weights that the prompt is to run on.
@@ -40,7 +40,7 @@
     queued = placement.queue_seconds(row, now) * 1000
     return (
         f"{text}, context {request.affinity or 'none'}, "
-        f"{'the preferred engine' if place.at_home else 'another engine'}, "
+        f"{'the preferred engine' if place.at_preferred_engine else 'another engine'}, "
         f"{_describe_version(flight.version, replaced, now)}, "
         f"{request.prompt_tokens} tokens, "
         f"{fetched} to fetch, {saved} parts to save, {queued:.0f} ms expected wait."
--- a/packages/decide/sesamespindle/decide/sends.py
+++ b/packages/decide/sesamespindle/decide/sends.py
@@ -57,13 +57,13 @@
         The name under which the target keeps the KV cache of the prompt.
     transfers : kvstores.Transfers
         Which prompt parts the target fetches from, and saves to, where.
-    patience : datetime.timedelta or None
+    first_byte_timeout : datetime.timedelta or None
         Timeout for the first byte, after which `Ending.SILENT` is reported; None
         for no timeout.
     reason : str
         Why this target was chosen, for the log.
     born : int
-        Start time of the target's incarnation, as in `lives.Life`.
+        Start time of the target's incarnation, as in `incarnations.TargetIncarnation`.
     """
 
     request_id: str
@@ -78,7 +78,7 @@
     version: int | None = None
     salt: str | None = None
     transfers: kvstores.Transfers = kvstores.NO_TRANSFERS
-    patience: datetime.timedelta | None = None
+    first_byte_timeout: datetime.timedelta | None = None
     reason: str = ""
     born: int = 0
 
--- a/packages/decide/sesamespindle/decide/sliceholder.py
+++ b/packages/decide/sesamespindle/decide/sliceholder.py
@@ -87,7 +87,7 @@
         limit = slices.limit_of(account.contract, resource)
         return slices.fallback_share(self._state, limit)
 
-    def prospect(self, account, resource, now):
+    def expected_slots(self, account, resource, now):
         """Return how many slots an account may expect here once the owner is asked.
 
         This is the whole limit, unless the last grant was smaller than asked for.
@@ -97,7 +97,7 @@
             return slices.limit_of(account.contract, resource)
         return self.slots(account, resource, now)
 
-    def need(self, account, resource, now):
+    def request_larger_slice_if_short(self, account, resource, now):
         """Ask the owner at once if the slice is too small for the requests here."""
         row = self._row_of(account, resource)
         row.needed_at = now
@@ -110,7 +110,7 @@
         for row in [row for row in self.held if self._is_idle(row, now)]:
             self.held.remove(row.key)
 
-    def granted(self, event, now):
+    def handle_grants(self, event, now):
         """Use the slices that an owner granted, and ask for larger ones if needed.
 
         Requests may have arrived since the ask was sent. A single new ask covers all of
@@ -133,12 +133,12 @@
         ]
         self._ask(short, now)
 
-    def holding(self, key, now):
+    def held_slice_ask(self, key, now):
         """Return an `events.SliceAsk` that states the slice held for a key, or None."""
         row = self.held.get(key)
         return self._make_ask(row, now) if row is not None else None
 
-    def tell(self, event, now):
+    def report_holdings(self, event, now):
         """Answer a new owner with the slices that this entry holds."""
         holdings = [
             self._make_ask(row, now)
--- a/packages/decide/sesamespindle/decide/sliceowner.py
+++ b/packages/decide/sesamespindle/decide/sliceowner.py
@@ -149,7 +149,7 @@
         self._answer_waiting(now)
         self._drop_expired(now)
 
-    def asked(self, event, now):
+    def handle_asks(self, event, now):
         """Answer an entry's asks, at once or when the slices in use are known."""
         self._state.note_incarnation(event.entry, event.incarnation, now)
         holder = (event.entry, event.incarnation)
@@ -160,7 +160,7 @@
             return
         self._waiting_asks.append(WaitingAsks(event, now + _MAX_ASK_WAIT))
 
-    def told(self, event, now):
+    def handle_holdings(self, event, now):
         """Count the slices of an earlier owner that an entry has reported."""
         holder = (event.entry, event.incarnation)
         for holding in event.holdings:
@@ -229,7 +229,7 @@
         )
         row.unreported.discard(state.me.name)
         self.owned.add(row)
-        own_slice = self._holder.holding(row.key, now)
+        own_slice = self._holder.held_slice_ask(row.key, now)
         if own_slice is not None:
             me = (state.me.name, state.me.incarnation)
             self._note_holding(row, me, 0, own_slice, now)
--- a/packages/decide/sesamespindle/decide/storerelay.py
+++ b/packages/decide/sesamespindle/decide/storerelay.py
@@ -71,7 +71,7 @@
             count += min(FOLLOWERS, sum(row.data_centre == name for row in entries))
         return count
 
-    def words(self, their_words=()):
+    def states_for(self, their_words=()):
         """Return what this host knows of each store's state, for a peer.
 
         Parameters
@@ -101,7 +101,7 @@
             and not _is_up_to_date(state_by_store.get(row.name), row)
         )
 
-    def news_for(self, words):
+    def updates_for(self, words):
         """Return the stores' parts that a peer lacks, as many as fit a message.
 
         Parameters
@@ -129,7 +129,7 @@
             updates.append(update)
         return tuple(updates)
 
-    def hear(self, message):
+    def merge(self, message):
         """Merge a peer's updates on stores, which it or another host follows.
 
         Parameters
@@ -153,7 +153,7 @@
                 and _is_later(peer_state, row)
             ):
                 row.note_status(
-                    peer_state.told_at, peer_state.is_silent, peer_state.clock_lead
+                    peer_state.checked_at, peer_state.is_silent, peer_state.clock_lead
                 )
 
     def _choose_followers(self):
@@ -178,12 +178,12 @@
     return (
         peer_state is not None
         and _knows_all_parts(peer_state, row)
-        and peer_state.told_at >= row.status_at
+        and peer_state.checked_at >= row.status_at
     )
 
 
 def _is_later(peer_state, row):
-    return row.status_at is None or peer_state.told_at > row.status_at
+    return row.status_at is None or peer_state.checked_at > row.status_at
 
 
 def _knows_all_parts(peer_state, row):
@@ -194,7 +194,7 @@
     """
     if peer_state.boot == row.boot:
         return peer_state.position >= row.position
-    return peer_state.told_at >= row.status_at
+    return peer_state.checked_at >= row.status_at
 
 
 def _update_for(row, peer_state):
@@ -221,4 +221,6 @@
             row.apply(update)
     elif update.whole_list and _is_later(peer_state, row):
         row.apply(update)
-        row.note_status(peer_state.told_at, peer_state.is_silent, peer_state.clock_lead)
+        row.note_status(
+            peer_state.checked_at, peer_state.is_silent, peer_state.clock_lead
+        )
--- a/packages/decide/sesamespindle/decide/targetlist.py
+++ b/packages/decide/sesamespindle/decide/targetlist.py
@@ -8,7 +8,7 @@
 import dataclasses
 import datetime
 
-from sesamespindle.decide import commands, declared, lives, world
+from sesamespindle.decide import commands, declared, incarnations, world
 
 # A target that has disappeared from the list stays in the table for this long, and is
 # used if no listed one is left. This is half of the shortest time that users allow
@@ -47,9 +47,9 @@
     cold_for: datetime.timedelta | None = datetime.timedelta(0)
 
     @property
-    def life(self):
-        """The `lives.Life`, that is the incarnation, which the record describes."""
-        return lives.Life(self.name, self.born or 0)
+    def incarnation(self):
+        """The incarnation of the target that the record describes."""
+        return incarnations.TargetIncarnation(self.name, self.born or 0)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -98,7 +98,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PlatformBack:
+class PlatformAvailable:
     """The platform is available again."""
 
 
@@ -118,7 +118,7 @@
         self._state = state
         self._platform_back_at = None
 
-    def take(self, event, now):
+    def handle(self, event, now):
         """Handle one of this module's events; return whether it was one."""
         match event:
             case TargetsListed():
@@ -130,7 +130,7 @@
                 self._remove(event, now)
             case TargetUnreadable():
                 self._set_aside(event.name, event.revision)
-            case PlatformBack():
+            case PlatformAvailable():
                 self._platform_back_at = now
             case _:
                 return False
@@ -242,14 +242,14 @@
         if target.born is None and (start_times_are_known or (row and row.born)):
             self._set_aside(target.name, target.revision)
             return
-        if row is not None and target.life.born < row.born:
+        if row is not None and target.incarnation.born < row.born:
             return
-        if row is not None and target.life.born > row.born:
+        if row is not None and target.incarnation.born > row.born:
             detail = f"born {target.born}, before {row.born}"
             self._state.emit(commands.Note("target_restarted", row.name, detail))
             row = None
         if row is None:
-            if self._state.is_refuted(target.life, target.revision, now):
+            if self._state.is_refuted(target.incarnation, target.revision, now):
                 return
             row = world.TargetRow(
                 target.name,
@@ -258,7 +258,7 @@
                 target.data_centre,
                 checks_fencing=False,
                 url=target.address,
-                born=target.life.born,
+                born=target.incarnation.born,
                 evacuated=target.data_centre in self._state.evacuated_data_centres,
             )
             self._supersede(row, target.revision)
--- a/packages/decide/sesamespindle/decide/weights.py
+++ b/packages/decide/sesamespindle/decide/weights.py
@@ -8,7 +8,7 @@
 import dataclasses
 import datetime
 
-from sesamespindle.decide import commands, namings
+from sesamespindle.decide import announcements, commands
 
 # Share of the time allowed after which no run is sent to superseded weights. The rest
 # covers the way to the target, and the delay until this host learned of the version
@@ -27,7 +27,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class VersionNamed:
+class VersionAnnounced:
     """A weight version of a model has just been announced, for all targets."""
 
     model: str
@@ -96,7 +96,7 @@
     ----------
     state : world.World
         The shared tables.
-    weights_within : datetime.timedelta
+    max_superseded_age : datetime.timedelta
         The time allowed: how long after an announcement runs may begin on older
         versions.
     contact_time : datetime.timedelta
@@ -104,45 +104,48 @@
         announced may still begin runs on older versions.
     """
 
-    def __init__(self, state, weights_within, contact_time):
+    def __init__(self, state, max_superseded_age, contact_time):
         self._state = state
-        self._weights_within = weights_within
+        self._weights_within = max_superseded_age
         self._contact_time = contact_time
 
-    def take(self, event, now):
+    def handle(self, event, now):
         """Process an event of this module; return False for any other event."""
         match event:
-            case VersionNamed(model, version):
+            case VersionAnnounced(model, version):
                 replaces = self._predecessor(model, version)
-                self._learn(namings.Naming(model, version, replaces, now, True), now)
+                self._learn(
+                    announcements.Naming(model, version, replaces, now, True), now
+                )
             case VersionFound(model, version, not_named_at):
                 replaces = (
                     0 if not_named_at is None else self._predecessor(model, version)
                 )
                 self._learn(
-                    namings.Naming(model, version, replaces, not_named_at, False), now
+                    announcements.Naming(model, version, replaces, not_named_at, False),
+                    now,
                 )
             case _:
                 return False
         return True
 
-    def hear(self, received, now):
-        """Merge the `namings.Naming` records that a peer has sent."""
+    def merge(self, received, now):
+        """Merge the `announcements.Naming` records that a peer has sent."""
         for naming in received:
             self._learn(naming, now)
 
     def tick(self, now):
         """Stop the gossip about versions that were announced too long ago to matter."""
         gossiped_for = self._weights_within + self._contact_time
-        self._state.namings.gossip_only_after(now - gossiped_for)
+        self._state.announcements.gossip_only_after(now - gossiped_for)
 
     def models(self):
         """Return the models of which a version has been announced."""
-        return self._state.namings.models()
+        return self._state.announcements.models()
 
     def named(self, model):
         """Return the version that all targets are to run; 1 until one is announced."""
-        return self._state.namings.newest(model)
+        return self._state.announcements.newest(model)
 
     def running(self, row, model):
         """Return the version that a target is thought to run, known or guessed."""
@@ -186,7 +189,7 @@
         Targets load the new weights meanwhile; without that time all callers would be
         refused.
         """
-        naming = self._state.namings.first_above(model, version)
+        naming = self._state.announcements.first_above(model, version)
         if naming is None:
             return None
         at, allowed = naming.at, self._weights_within
@@ -232,11 +235,11 @@
         seen in 5 of 24 random simulations of 12 hosts and a slow store. Only lower
         versions are considered, so a version is never its own predecessor.
         """
-        return self._state.namings.newest_below(model, version)
+        return self._state.announcements.newest_below(model, version)
 
     def _learn(self, naming, now):
-        known = self._state.namings.get(naming.model, naming.version)
-        learned = self._state.namings.learn(naming)
+        known = self._state.announcements.get(naming.model, naming.version)
+        learned = self._state.announcements.learn(naming)
         if known is None or known.is_sure != learned.is_sure:
             detail = f"{learned.version}, {_describe_age(learned, now)}"
             self._state.emit(commands.Note("version_named", learned.model, detail))
--- a/packages/decide/sesamespindle/decide/world.py
+++ b/packages/decide/sesamespindle/decide/world.py
@@ -6,14 +6,14 @@
 import random
 
 from sesamespindle.decide import (
+    announcements,
     commands,
     declared,
     departure,
     events,
     gossip,
     hashing,
-    lives,
-    namings,
+    incarnations,
     pauses,
     retries,
     routes,
@@ -139,7 +139,7 @@
     url: str = ""
     listed: bool = False
     leaving: bool = False
-    shunned_until: datetime.datetime | None = None
+    ejected_until: datetime.datetime | None = None
     failures: int = 0
     running_here: int = 0
     version: str = ""
@@ -174,23 +174,23 @@
     # The weight version that it probably runs, after it refused requests for the one
     # that it was known to run.
     guessed_version: int | None = None
-    switching_until: datetime.datetime | None = None
+    loading_until: datetime.datetime | None = None
     reported_load: int = 0
     service_time: datetime.timedelta | None = None
     failure_rate: float = 0.0
     # The tokens of the prompt parts (shared prefix segments) that the target prefilled
     # for this daemon, by salt and part id, least recently used first.
-    read_parts: dict[tuple, int] = dataclasses.field(default_factory=dict)
-    read_tokens: int = 0
+    cached_parts: dict[tuple, int] = dataclasses.field(default_factory=dict)
+    cached_tokens: int = 0
     # The tokens of KV cache that requests from this host occupy, by request id.
     held_by_request: dict[str, int] = dataclasses.field(default_factory=dict)
     # The work that peers have sent to the target and announced, by the peer's name.
     peer_work_by_entry: dict[str, SentWork] = dataclasses.field(default_factory=dict)
 
     @property
-    def life(self):
-        """The `lives.Life` of the incarnation that this row describes."""
-        return lives.Life(self.name, self.born)
+    def incarnation(self):
+        """The incarnation of the target that this row describes."""
+        return incarnations.TargetIncarnation(self.name, self.born)
 
     def learn_version(self, model, version):
         """Record a weight version that the target was seen to run; it only rises."""
@@ -226,7 +226,7 @@
         self.guessed_version = None
         self.version_rounds = VERSION_ROUNDS
 
-    def note_read(self, salt, parts, capacity):
+    def note_cached(self, salt, parts, capacity):
         """Record prompt parts that the target caches, and drop those used longest ago.
 
         Parameters
@@ -240,12 +240,12 @@
         """
         for part in parts:
             key = salt, part.part_id
-            self.read_tokens -= self.read_parts.pop(key, 0)
-            self.read_parts[key] = part.tokens
-            self.read_tokens += part.tokens
-        while self.read_tokens > capacity and self.read_parts:
-            oldest = next(iter(self.read_parts))
-            self.read_tokens -= self.read_parts.pop(oldest)
+            self.cached_tokens -= self.cached_parts.pop(key, 0)
+            self.cached_parts[key] = part.tokens
+            self.cached_tokens += part.tokens
+        while self.cached_tokens > capacity and self.cached_parts:
+            oldest = next(iter(self.cached_parts))
+            self.cached_tokens -= self.cached_parts.pop(oldest)
 
     @property
     def stays(self):
@@ -256,7 +256,7 @@
         """Return whether the target may get new work: it stays and isn't ejected."""
         if not self.stays or not self.url:
             return False
-        return self.shunned_until is None or now >= self.shunned_until
+        return self.ejected_until is None or now >= self.ejected_until
 
     def backlog(self, now):
         """Return the number of prompt tokens that probably wait at the target.
@@ -332,21 +332,21 @@
         # The data centres whose targets get no requests.
         self.evacuated_data_centres: frozenset[str] = frozenset()
         # The revision of a refuted record, and when it was refuted, by incarnation.
-        self._refuted_by_life = {}
+        self._refuted_by_incarnation = {}
         self.region_by_data_centre: dict[str, str] = {}
         # The revision of the latest change seen, and the revision up to which all
         # changes are known, by kind of platform object.
-        self.seen_by_kind: dict[str, int] = {}
-        self.covered_by_kind: dict[str, int] = {}
-        self.namings = namings.Namings()
+        self.last_change_by_kind: dict[str, int] = {}
+        self.known_revision_by_kind: dict[str, int] = {}
+        self.announcements = announcements.Announcements()
         self.pauses = pauses.Pauses(started_at)
         # The latest known release of the lease by its holder.
         self.lease_release: gossip.LeaseRelease | None = None
         # Whether work was sent that must be announced before the next gossip round.
-        self.tells_pending = False
+        self.must_announce_pending = False
         # Whether a crash, a clearing or a quarantine must be announced before the next
         # gossip round.
-        self.tells_crashes = False
+        self.must_announce_crashes = False
         # Rises with every change of the entries or their states.
         self.view = 0
         # Counts the placements by round-robin routing.
@@ -355,10 +355,10 @@
         self._live_entries = None
         self._owner_by_account = {}
 
-    def target_in(self, life):
+    def target_in(self, incarnation):
         """Return the row of a target's incarnation, or None if it isn't current."""
-        row = self.targets.get(life.name) if life is not None else None
-        return row if row is not None and row.born == life.born else None
+        row = self.targets.get(incarnation.name) if incarnation is not None else None
+        return row if row is not None and row.born == incarnation.born else None
 
     def drop_target(self, name):
         """Remove a target; one that it superseded is used again."""
@@ -374,22 +374,22 @@
         for `_REFUTED_FOR`.
         """
         self.drop_target(row.name)
-        self._refuted_by_life = {
-            life: refuted
-            for life, refuted in self._refuted_by_life.items()
+        self._refuted_by_incarnation = {
+            incarnation: refuted
+            for incarnation, refuted in self._refuted_by_incarnation.items()
             if now - refuted[1] <= _REFUTED_FOR
         }
-        self._refuted_by_life[row.life] = row.revision, now
+        self._refuted_by_incarnation[row.incarnation] = row.revision, now
         self.emit(commands.Note("target_replaced", row.name, row.url))
 
-    def is_refuted(self, life, revision, now):
+    def is_refuted(self, incarnation, revision, now):
         """Return whether a target's record was refuted recently.
 
         Guards against a crashed target that gets requests again: its record is still
         listed for some heartbeats and would add the target back. A record of a later
         revision or incarnation isn't refuted.
         """
-        refuted_revision, at = self._refuted_by_life.get(life, (0, now))
+        refuted_revision, at = self._refuted_by_incarnation.get(incarnation, (0, now))
         return now - at <= _REFUTED_FOR and revision <= refuted_revision
 
     @property
--- a/packages/lab/sesamespindle/lab/slopes.py
+++ b/packages/lab/sesamespindle/lab/slopes.py
@@ -98,7 +98,7 @@
             self.now += datetime.timedelta(milliseconds=500)
             peer.now = self.now
             membership = self.core.membership
-            membership.spread(self.now)
+            membership.start_round(self.now)
             for command in self.core.state.take_commands():
                 if isinstance(command, commands.GossipTo):
                     sizes.append(self._exchange_gossip(peer, command))
@@ -130,7 +130,7 @@
         for holder in holders:
             self._request_slice(account, holder, next(request_numbers))
         for name in holders + [f"entry-{n}" for n in range(self.size.entries)]:
-            self.step(events.HoldingsTold(name, 1, (account,), (), True))
+            self.step(events.HoldingsReported(name, 1, (account,), (), True))
 
         def run():
             number = next(request_numbers)
@@ -159,7 +159,7 @@
         for index in range(min(self.size.accounts, 15)):
             name = f"account-{index}"
             resource = events.Resource.PROMPTS
-            self.core.slices.need(name, resource, self.now)
+            self.core.slices.request_larger_slice_if_short(name, resource, self.now)
             grant = events.SliceGrant(name, resource, 50, 1)
             self.step(events.SlicesGranted(self.now, (), (grant,)))
 
--- a/packages/wire/sesamespindle/wire/claims.py
+++ b/packages/wire/sesamespindle/wire/claims.py
@@ -14,7 +14,7 @@
 KIND = "claims"
 
 
-async def take(client, account, key, claim, replaces):
+async def write_claim(client, account, key, claim, replaces):
     """Write a key's claim and return the version of its object.
 
     Parameters
@@ -32,14 +32,14 @@
     ------
     platform.ConflictError
         If the object holds another claim.
-    platform.PlatformAwayError
+    platform.PlatformUnavailableError
         If it can't be determined whether the claim was written.
     """
     return await platform.write_confirmed(
         client,
         KIND,
         object_name(account, key),
-        to_value(claim),
+        to_json_value(claim),
         replaces,
         lambda value: (value["nonce"], value["state"]) == (claim.nonce, claim.state),
     )
@@ -54,7 +54,7 @@
     return hashlib.sha256(f"{account}\0{key}".encode()).hexdigest()
 
 
-def to_value(claim):
+def to_json_value(claim):
     """Return a claim as plain JSON values."""
     value = {
         "entry": claim.entry,
@@ -73,8 +73,8 @@
     return value
 
 
-def from_value(value):
-    """Return the claim that `to_value` turned into plain JSON values."""
+def from_json_value(value):
+    """Return the claim that `to_json_value` turned into plain JSON values."""
     answer = value.get("answer")
     stored = None
     if answer is not None:
--- a/packages/wire/sesamespindle/wire/engine.py
+++ b/packages/wire/sesamespindle/wire/engine.py
@@ -35,13 +35,13 @@
         self.retry_after = retry_after
 
 
-class LinkLostError(Exception):
+class ConnectionLostError(Exception):
     """The connection broke or went idle after the request may have arrived."""
 
     code = "link_lost"
 
 
-class StreamGoneError(Exception):
+class StreamNotFoundError(Exception):
     """The engine no longer has the stream, or refuses to resume it."""
 
     code = "stream_gone"
@@ -123,7 +123,7 @@
         ------
         NotSentError, RefusedError
             If the engine certainly did not start the stream.
-        LinkLostError
+        ConnectionLostError
             If the connection was lost; the engine may still run the stream.
         """
         body = dataclasses.asdict(request)
@@ -135,9 +135,9 @@
 
         Raises
         ------
-        StreamGoneError
+        StreamNotFoundError
             If the engine no longer has the stream, or refuses to resume it.
-        LinkLostError
+        ConnectionLostError
             If the connection broke, or none could be made.
         """
         stream_url = f"{url}/streams/{stream}?after={after}"
@@ -145,9 +145,9 @@
             async for event in self._read("GET", stream_url, None):
                 yield event
         except NotSentError as error:
-            raise LinkLostError(str(error)) from error
+            raise ConnectionLostError(str(error)) from error
         except RefusedError as error:
-            raise StreamGoneError(str(error)) from error
+            raise StreamNotFoundError(str(error)) from error
 
     async def cancel(self, url, stream):
         """Ask an engine to stop a stream.
@@ -197,16 +197,18 @@
         ) as error:
             raise NotSentError(f"{method} {url}: {error!r}") from error
         except (TimeoutError, aiohttp.ClientError, ValueError) as error:
-            raise LinkLostError(f"{method} {url}: {error!r}") from error
+            raise ConnectionLostError(f"{method} {url}: {error!r}") from error
 
 
 def _error_of(response):
     if response.status == 404:
-        return StreamGoneError("The engine does not have the stream.")
+        return StreamNotFoundError("The engine does not have the stream.")
     if response.status in (409, 429, 503):
         seconds = float(response.headers.get("Retry-After", "1"))
         return RefusedError(datetime.timedelta(seconds=seconds))
-    return LinkLostError(f"The engine answered with HTTP status {response.status}.")
+    return ConnectionLostError(
+        f"The engine answered with HTTP status {response.status}."
+    )
 
 
 def _parse_event(value):
--- a/packages/wire/sesamespindle/wire/head.py
+++ b/packages/wire/sesamespindle/wire/head.py
@@ -37,7 +37,7 @@
     digest_by_key: dict = dataclasses.field(default_factory=dict)
     nonces: tuple[str, ...] = ()
 
-    def to_value(self):
+    def to_json_value(self):
         """Return the head as plain JSON values."""
         return dataclasses.asdict(self)
 
@@ -50,7 +50,7 @@
     version: int
 
 
-def from_object(found):
+def stored_head_of(found):
     """Return the `StoredHead` of a `platform.Object`, or an empty one for None."""
     if found is None:
         return StoredHead(Head(), 0)
@@ -61,7 +61,7 @@
 
 async def read(client):
     """Return the current `StoredHead`."""
-    return from_object(await client.get(HEAD_KIND, HEAD_NAME))
+    return stored_head_of(await client.get(HEAD_KIND, HEAD_NAME))
 
 
 async def replace(client, stored, digest_by_key, nonce):
@@ -87,7 +87,7 @@
     ------
     platform.ConflictError
         If another change replaced the head since it was read.
-    platform.PlatformAwayError
+    platform.PlatformUnavailableError
         If it can't be determined whether the head was replaced.
     """
     nonces = (*stored.head.nonces, nonce)[-_NONCES_KEPT:]
@@ -96,7 +96,7 @@
         client,
         HEAD_KIND,
         HEAD_NAME,
-        new_head.to_value(),
+        new_head.to_json_value(),
         stored.version,
         lambda value: nonce in value["nonces"],
     )
@@ -126,7 +126,7 @@
 
     Raises
     ------
-    platform.PlatformAwayError
+    platform.PlatformUnavailableError
         If the platform does not answer, or lacks one of the documents.
     """
     content_by_digest = {}
@@ -136,14 +136,14 @@
         )
         for digest, document in zip(batch, found, strict=True):
             if document is None:
-                raise platform.PlatformAwayError(
+                raise platform.PlatformUnavailableError(
                     f"The platform has no document {digest}."
                 )
             content_by_digest[digest] = document.value
     return content_by_digest
 
 
-def entities_of(head, content_by_digest):
+def validated_entities(head, content_by_digest):
     """Return the validated entities of a head, by key.
 
     Raises
--- a/packages/wire/sesamespindle/wire/platform.py
+++ b/packages/wire/sesamespindle/wire/platform.py
@@ -11,7 +11,7 @@
 MAX_VALUE_BYTES = 1_000_000
 
 
-class PlatformAwayError(Exception):
+class PlatformUnavailableError(Exception):
     """The platform is unavailable; a write may or may not have taken effect."""
 
     code = "platform_away"
@@ -70,7 +70,7 @@
         ------
         ConflictError
             If the object exists.
-        PlatformAwayError
+        PlatformUnavailableError
             If it is not known whether the write took effect.
         """
         headers = {"If-None-Match": "*"}
@@ -84,7 +84,7 @@
         ------
         ConflictError
             If the object is at another version, or does not exist.
-        PlatformAwayError
+        PlatformUnavailableError
             If it is not known whether the write took effect.
         """
         headers = {"If-Match": str(version)}
@@ -148,7 +148,7 @@
             ) as response:
                 return await _parse_response(response)
         except (TimeoutError, aiohttp.ClientError, ValueError) as error:
-            raise PlatformAwayError(f"{method} {url}: {error!r}") from error
+            raise PlatformUnavailableError(f"{method} {url}: {error!r}") from error
 
 
 async def write_confirmed(client, kind, name, value, replaces, is_ours):
@@ -180,7 +180,7 @@
     ------
     ConflictError
         If another write came first.
-    PlatformAwayError
+    PlatformUnavailableError
         If the write got no answer and can't be confirmed by reading back; it may
         still take effect later.
     """
@@ -188,7 +188,7 @@
         if replaces:
             return await client.replace(kind, name, value, replaces)
         return await client.create(kind, name, value)
-    except PlatformAwayError:
+    except PlatformUnavailableError:
         found = await client.get(kind, name)
         if found is not None and is_ours(found.value):
             return found.version
@@ -213,7 +213,9 @@
             found = Object(body["version"], body["value"]) if body["version"] else None
             raise ConflictError(found)
         case status:
-            raise PlatformAwayError(f"The platform answered with HTTP status {status}.")
+            raise PlatformUnavailableError(
+                f"The platform answered with HTTP status {status}."
+            )
 
 
 def _parse_host(item):
--- a/packages/wire/sesamespindle/wire/service.py
+++ b/packages/wire/sesamespindle/wire/service.py
@@ -71,7 +71,7 @@
         AnswerTimeoutError
             If the timeout passed after the connection was established; the call may
             have run.
-        engine.LinkLostError
+        engine.ConnectionLostError
             If the connection broke, or the answer exceeds `MAX_ANSWER_BYTES`; the
             call may have run.
         """
@@ -83,7 +83,7 @@
                 raise engine.NotSentError(repr(error)) from error
             if isinstance(error, asyncio.TimeoutError):
                 raise AnswerTimeoutError(repr(error)) from error
-            raise engine.LinkLostError(repr(error)) from error
+            raise engine.ConnectionLostError(repr(error)) from error
 
     async def _call(self, url, request, timeout, progress):
         headers = {
--- a/tests/daemon/test_crashmessages.py
+++ b/tests/daemon/test_crashmessages.py
@@ -3,7 +3,7 @@
 import datetime
 
 from sesamespindle.daemon import peermessages
-from sesamespindle.decide import gossip, lives
+from sesamespindle.decide import gossip, incarnations
 
 NOW = datetime.datetime(2026, 3, 1, 9, 0, tzinfo=datetime.UTC)
 SECOND = datetime.timedelta(seconds=1)
@@ -11,7 +11,11 @@
 NEWS = gossip.CrashNews(
     (
         gossip.TargetCrash(
-            lives.Life("llm-1", 7), "llm", NOW - 2 * SECOND, (FINGERPRINT,), True
+            incarnations.TargetIncarnation("llm-1", 7),
+            "llm",
+            NOW - 2 * SECOND,
+            (FINGERPRINT,),
+            True,
         ),
     ),
     (gossip.ClearedRequest(FINGERPRINT, NOW - SECOND),),
--- a/tests/decide/test_calls.py
+++ b/tests/decide/test_calls.py
@@ -55,7 +55,7 @@
     its caller can't know whether it was made.
     """
     made = make_core()
-    made.step(START, [events.LeaveAsked(ENDS_AT)])
+    made.step(START, [events.LeaveRequested(ENDS_AT)])
     (command,) = commands_for(
         "late", made.step(START, [arrival("late", START, seconds)])
     )
@@ -77,7 +77,7 @@
     answer = events.StoredAnswer(200, "application/json", b"{}")
     made.step(START, [arrival("booking", START, 30, key="ticket")])
     made.step(START, [events.CallAnswered("booking", 1, answer)])
-    made.step(START, [events.LeaveAsked(ENDS_AT), events.HasLeft()])
+    made.step(START, [events.LeaveRequested(ENDS_AT), events.DepartureFinished()])
     (refused,) = commands_for("late", made.step(START, [arrival("late", START, 1)]))
     assert refused.code is commands.Code.SHUTTING_DOWN
     assert refused.outcome is commands.Outcome.NOT_RUN
@@ -139,10 +139,10 @@
             sent.request_id, sent.attempt, events.Ending.LINK_LOST
         )
         made.step(now, [ended])
-        life = next(iter(made.crashes._broken_runs_by_life))
-        assert life.born == number
-        made.step(now, [crashes.LifeRefuses(life)])
-        made.state.targets.get("hall-1").shunned_until = None
+        incarnation = next(iter(made.crashes._broken_runs_by_incarnation))
+        assert incarnation.born == number
+        made.step(now, [crashes.TargetRefusesConnections(incarnation)])
+        made.state.targets.get("hall-1").ejected_until = None
     now += second
     (refused,) = commands_for("last", made.step(now, [arrival("last", now, 30)]))
     assert refused.code is commands.Code.QUARANTINED
--- a/tests/decide/test_coldtargets.py
+++ b/tests/decide/test_coldtargets.py
@@ -19,14 +19,14 @@
 
 
 @pytest.mark.parametrize(("hosts", "engines"), [(70, 70), (370, 80)])
-@pytest.mark.parametrize("is_new_life", [False, True])
+@pytest.mark.parametrize("is_new_incarnation", [False, True])
 def test_half_of_the_targets_that_turn_cold_at_once_get_what_they_can_handle(
-    hosts, engines, is_new_life
+    hosts, engines, is_new_incarnation
 ):
     """Targets restart together and crash if all hosts send to them at once."""
     fleet = coldfleet.Fleet(1, hosts, engines)
     for engine in fleet.engines[: engines // 2]:
-        fleet.turn_cold(engine, SOON, is_new_life)
+        fleet.turn_cold(engine, SOON, is_new_incarnation)
     play(fleet, 450.0)
     assert fleet.most_in_a_second() <= coldfleet.MOST_IN_A_SECOND
     assert fleet.refused == []
--- a/tests/decide/test_crashes.py
+++ b/tests/decide/test_crashes.py
@@ -5,9 +5,9 @@
 import pytest
 from gateways import NOW, SECOND, make_gateway, make_target
 
-from sesamespindle.decide import crashes, events, lives, targetlist
+from sesamespindle.decide import crashes, events, incarnations, targetlist
 
-LIFE = lives.Life("llm-1")
+INCARNATION = incarnations.TargetIncarnation("llm-1")
 SOON = NOW + datetime.timedelta(milliseconds=20)
 
 
@@ -21,25 +21,25 @@
 
 def break_off(core, *fingerprints, at=NOW, sent_at=NOW):
     for fingerprint in fingerprints:
-        core.crashes.broke(fingerprint, LIFE, sent_at, at)
+        core.crashes.record_broken_run(fingerprint, INCARNATION, sent_at, at)
 
 
 def suspects(core):
-    return [crash.suspects for crash in core.crashes.crash_by_life.values()]
+    return [crash.suspects for crash in core.crashes.crash_by_incarnation.values()]
 
 
 def test_interrupted_runs_are_suspects_once_their_target_refuses_connections(core):
     break_off(core, "aa", "bb")
     probes = core.step(NOW, [])
-    assert probes == [crashes.ProbeLife(LIFE, "10.1.0.1:80")]
+    assert probes == [crashes.ProbeTarget(INCARNATION, "10.1.0.1:80")]
     assert suspects(core) == []
-    core.step(SOON, [crashes.LifeRefuses(LIFE)])
+    core.step(SOON, [crashes.TargetRefusesConnections(INCARNATION)])
     assert suspects(core) == [{"aa", "bb"}]
 
 
 def test_a_run_whose_end_is_noticed_late_is_a_suspect_too(core):
     break_off(core, "aa")
-    core.step(SOON, [crashes.LifeRefuses(LIFE)])
+    core.step(SOON, [crashes.TargetRefusesConnections(INCARNATION)])
     break_off(core, "bb", at=SOON)
     assert suspects(core) == [{"aa", "bb"}]
 
@@ -61,16 +61,16 @@
 def test_a_broken_link_is_no_crash(core):
     """A link breaks while its target keeps running; no run must become a suspect."""
     break_off(core, "aa")
-    core.crashes.answered(LIFE, SOON)
-    core.step(SOON, [crashes.LifeRefuses(LIFE)])
+    core.crashes.record_answer(INCARNATION, SOON)
+    core.step(SOON, [crashes.TargetRefusesConnections(INCARNATION)])
     assert suspects(core) == []
 
 
 def test_an_answer_to_a_request_before_the_break_refutes_no_crash(core):
     """An answer is still waiting here when its target crashes, and proves nothing."""
     break_off(core, "aa", at=SOON)
-    core.crashes.answered(LIFE, NOW)
-    core.step(SOON, [crashes.LifeRefuses(LIFE)])
+    core.crashes.record_answer(INCARNATION, NOW)
+    core.step(SOON, [crashes.TargetRefusesConnections(INCARNATION)])
     assert suspects(core) == [{"aa"}]
 
 
@@ -79,7 +79,7 @@
     leaving = make_target("llm-1", "llm", leaving=True, revision=2)
     core.step(NOW, [targetlist.TargetChanged(leaving)])
     break_off(core, "aa")
-    core.step(SOON, [crashes.LifeRefuses(LIFE)])
+    core.step(SOON, [crashes.TargetRefusesConnections(INCARNATION)])
     assert suspects(core) == []
 
 
@@ -87,7 +87,7 @@
     """A target never reports that it leaves; its record is removed before it ends."""
     core.step(NOW, [targetlist.TargetRemoved("llm-1")])
     break_off(core, "aa")
-    core.step(SOON, [crashes.LifeRefuses(LIFE)])
+    core.step(SOON, [crashes.TargetRefusesConnections(INCARNATION)])
     assert suspects(core) == []
 
 
@@ -96,25 +96,25 @@
     later = NOW + 5 * SECOND
     core.step(later, [])
     break_off(core, "aa", at=later)
-    core.step(later, [crashes.LifeRefuses(LIFE)])
+    core.step(later, [crashes.TargetRefusesConnections(INCARNATION)])
     assert suspects(core) == []
 
 
 def test_a_run_abandoned_just_before_the_crash_is_a_suspect(core):
     """An impatient caller abandons a request shortly before it crashes the target."""
-    core.crashes.left("cc", LIFE, NOW - 0.5 * SECOND)
-    core.crashes.left("dd", LIFE, NOW - 2 * SECOND)
+    core.crashes.record_abandoned_run("cc", INCARNATION, NOW - 0.5 * SECOND)
+    core.crashes.record_abandoned_run("dd", INCARNATION, NOW - 2 * SECOND)
     break_off(core, "aa")
-    core.step(SOON, [crashes.LifeRefuses(LIFE)])
+    core.step(SOON, [crashes.TargetRefusesConnections(INCARNATION)])
     assert suspects(core) == [{"aa", "cc"}]
 
 
 def test_a_crash_is_refuted_by_a_later_answer(core):
     """A broken link refuses connections as a dead target does, and recovers."""
     break_off(core, "aa")
-    core.step(SOON, [crashes.LifeRefuses(LIFE)])
-    core.crashes.answered(LIFE, NOW + 3 * SECOND)
-    assert core.crashes.crash_by_life[LIFE].is_refuted
+    core.step(SOON, [crashes.TargetRefusesConnections(INCARNATION)])
+    core.crashes.record_answer(INCARNATION, NOW + 3 * SECOND)
+    assert core.crashes.crash_by_incarnation[INCARNATION].is_refuted
 
 
 def test_an_incarnation_is_probed_twice_and_then_left_to_the_list(core):
@@ -131,4 +131,4 @@
 
 
 def _is_probe(command):
-    return isinstance(command, crashes.ProbeLife)
+    return isinstance(command, crashes.ProbeTarget)
--- a/tests/decide/test_departure.py
+++ b/tests/decide/test_departure.py
@@ -21,9 +21,9 @@
     """
     leaving = departure.schedule(NOW, departure.latest_end(NOW, 8 * SECOND))
     late_deadline = NOW + 13.4 * SECOND
-    assert leaving.takes(late_deadline, NOW + 2.4 * SECOND)
-    assert not leaving.takes(late_deadline, NOW + 3.02 * SECOND)
-    assert leaving.takes(NOW + 7 * SECOND, NOW + 5.5 * SECOND)
+    assert leaving.accepts(late_deadline, NOW + 2.4 * SECOND)
+    assert not leaving.accepts(late_deadline, NOW + 3.02 * SECOND)
+    assert leaving.accepts(NOW + 7 * SECOND, NOW + 5.5 * SECOND)
 
 
 @pytest.mark.parametrize("grace", [1, 2, 8, 20])
@@ -69,7 +69,7 @@
     leaving = departure.schedule(NOW, departure.latest_end(NOW, grace))
     now = NOW + grace * elapsed_share
     until = now + duration * SECOND
-    if now >= leaving.open_until and leaving.takes(until, now):
+    if now >= leaving.accepts_all_until and leaving.accepts(until, now):
         assert until <= leaving.ends_at
-    assert leaving.open_until - NOW <= 2.5 * SECOND
-    assert leaving.open_until - NOW <= (leaving.ends_at - NOW) / 3
+    assert leaving.accepts_all_until - NOW <= 2.5 * SECOND
+    assert leaving.accepts_all_until - NOW <= (leaving.ends_at - NOW) / 3
--- a/tests/decide/test_forwarding.py
+++ b/tests/decide/test_forwarding.py
@@ -33,7 +33,9 @@
         gateways.make_target("llm-3", "llm", versions={"m": 1}),
         gateways.make_target("llm-4", "llm", versions={"m": 1}),
     )
-    made.step(NOW, [targetlist.TargetsListed(targets), weights.VersionNamed("m", 2)])
+    made.step(
+        NOW, [targetlist.TargetsListed(targets), weights.VersionAnnounced("m", 2)]
+    )
     return made
 
 
@@ -130,7 +132,7 @@
     late = NOW + 7 * SECOND
     row = core.state.targets.get("llm-3")
     row.learn_version("m", 2)
-    row.shunned_until = late + SECOND / 10
+    row.ejected_until = late + SECOND / 10
     assert send_prompt(core, late).target == "llm-3"
 
 
@@ -232,7 +234,7 @@
     core.state.targets.get("llm-3").leaving = True
     old = send_prompt(core, NOW + SECOND, request_id="old")
     assert (new.version, old.version) == (2, 1)
-    core.step(NOW + 5 * SECOND, [weights.VersionNamed("m", 3)])
+    core.step(NOW + 5 * SECOND, [weights.VersionAnnounced("m", 3)])
     assert withdrawn_at(core, NOW + 7.5 * SECOND) == [("old", 1)]
     core.forwarding.close("old", now=NOW + 7.5 * SECOND)
     assert withdrawn_at(core, NOW + 12 * SECOND) == []
@@ -249,7 +251,7 @@
     core.step(NOW, [targetlist.TargetsListed((target,))])
     send_prompt(core, NOW)
     assert withdrawn_at(core, NOW + 5 * SECOND) == []
-    core.step(NOW + 5 * SECOND, [weights.VersionNamed("m", 2)])
+    core.step(NOW + 5 * SECOND, [weights.VersionAnnounced("m", 2)])
     assert withdrawn_at(core, NOW + 12 * SECOND) == []
     assert withdrawn_at(core, NOW + 12.5 * SECOND) == [("r1", 1)]
 
--- a/tests/decide/test_gateway.py
+++ b/tests/decide/test_gateway.py
@@ -56,7 +56,7 @@
     serves short calls. It refuses a stream that may outlast it as "not run", with a
     short, jittered retry-after.
     """
-    core.step(NOW, [events.LeaveAsked(NOW + 7.7 * SECOND)])
+    core.step(NOW, [events.LeaveRequested(NOW + 7.7 * SECOND)])
     later = NOW + 4 * SECOND
     refused = gateways.begin(core, "/chat/1", later)
     assert refused.code is commands.Code.SHUTTING_DOWN
@@ -74,7 +74,7 @@
     lookup or a stream is still accepted: callers can't know yet that the host is
     leaving, and they may repeat such requests.
     """
-    core.step(NOW, [events.LeaveAsked(NOW + 7.7 * SECOND)])
+    core.step(NOW, [events.LeaveRequested(NOW + 7.7 * SECOND)])
     soon = NOW + SECOND
     assert gateways.begin(core, "/once/1", soon).code is commands.Code.SHUTTING_DOWN
     read = gateways.begin(core, "/read/1", soon, request_id="r2")
@@ -85,11 +85,11 @@
 
 
 def test_a_second_order_to_leave_does_not_move_the_end(core):
-    core.step(NOW, [events.LeaveAsked(NOW + 7.7 * SECOND)])
+    core.step(NOW, [events.LeaveRequested(NOW + 7.7 * SECOND)])
     first = core.state.departure
     core.step(
         NOW + SECOND,
-        [events.LeaveAsked(NOW + 8.5 * SECOND)],
+        [events.LeaveRequested(NOW + 8.5 * SECOND)],
     )
     assert core.state.departure is first
 
@@ -106,7 +106,7 @@
     next host, which could serve the request.
     """
     me = events.Host("entry-1", "entry", "dc-1", "10.0.0.1:80")
-    core = gateway.Gateway(me, gateway.Terms(budgets.BudgetRule()))
+    core = gateway.Gateway(me, gateway.PlatformLimits(budgets.BudgetRule()))
     refused = gateways.begin(core, "/once/1")
     assert refused.code is commands.Code.NOT_READY
     assert refused.outcome is commands.Outcome.NOT_RUN
@@ -191,7 +191,7 @@
     The first list after the platform's return is empty, although the targets still
     serve. They register again within 2 s; until then the known ones are used.
     """
-    core.step(NOW, [targetlist.PlatformBack(), targetlist.TargetsListed(())])
+    core.step(NOW, [targetlist.PlatformAvailable(), targetlist.TargetsListed(())])
     later = NOW + 2 * SECOND
     core.step(later, [events.Tick()])
     assert isinstance(gateways.begin(core, "/read/1", now=later), sends.Forward)
@@ -259,7 +259,7 @@
 
 
 def test_salt_and_expected_version_match_what_the_target_runs(core):
-    core.step(NOW, [weights.VersionNamed("m", 2)])
+    core.step(NOW, [weights.VersionAnnounced("m", 2)])
     sent = send_prompt(core)
     assert sent.version == 1
     assert sent.salt == "1"
@@ -276,7 +276,7 @@
     that has loaded the second refused a request for the first. It was then recorded
     as running the third, peers received that, and it refused all their requests.
     """
-    core.step(NOW, [weights.VersionNamed("m", 2), weights.VersionNamed("m", 3)])
+    core.step(NOW, [weights.VersionAnnounced("m", 2), weights.VersionAnnounced("m", 3)])
     row = core.state.targets.get("llm-3")
     core.weights.note_refused(row, "m", 1)
     assert core.weights.running(row, "m") == 2
@@ -287,7 +287,7 @@
 
 
 def test_no_prompt_is_sent_to_weights_superseded_too_long_ago(core):
-    core.step(NOW, [weights.VersionNamed("m", 2)])
+    core.step(NOW, [weights.VersionAnnounced("m", 2)])
     refused = send_prompt(core, now=NOW + 7 * SECOND)
     assert isinstance(refused, commands.Refuse)
 
@@ -302,7 +302,7 @@
     """
     names = hashing.rank("lease", [f"entry-{number}" for number in range(6)])
     me = events.Host(names[2], "entry", "dc-1", "u", "p", "", 1)
-    core = gateway.Gateway(me, gateway.Terms(budgets.BudgetRule(0.2, 50.0)))
+    core = gateway.Gateway(me, gateway.PlatformLimits(budgets.BudgetRule(0.2, 50.0)))
     live = events.HostState.LIVE
     for name in names[:2]:
         core.state.put_entry(
--- a/tests/decide/test_lives.py
+++ b/tests/decide/test_incarnations.py
@@ -9,8 +9,8 @@
     commands,
     events,
     gossip,
+    incarnations,
     kvstores,
-    lives,
     rollout,
     sends,
     targetlist,
@@ -57,13 +57,13 @@
     """
     row = row_of(core)
     part = kvstores.Part("p", 100)
-    row.note_read("1", (part,), 1000)
+    row.note_cached("1", (part,), 1000)
     row.failure_rate, row.failures, row.reported_load = 0.9, 3, 40
-    row.shunned_until = NOW + 9 * SECOND
+    row.ejected_until = NOW + 9 * SECOND
     emitted = change(core, born=BORN_AGAIN, revision=2)
     assert commands.Note("target_restarted", "llm-3", _restart_detail()) in emitted
     new_target = row_of(core)
-    assert (new_target.born, new_target.read_parts, new_target.failure_rate) == (
+    assert (new_target.born, new_target.cached_parts, new_target.failure_rate) == (
         BORN_AGAIN,
         {},
         0.0,
@@ -107,7 +107,7 @@
     other weights and has much pending work; all of that ended with the incarnation.
     """
     change(core, born=BORN_AGAIN, revision=2)
-    row, old = row_of(core), lives.Life("llm-3", BORN)
+    row, old = row_of(core), incarnations.TargetIncarnation("llm-3", BORN)
     gossip_of(
         core,
         leaving_targets=(gossip.LeavingTarget(old, row.url),),
@@ -154,10 +154,14 @@
     change(core, born=BORN_AGAIN, revision=2, version=3)
     change(core, born=BORN_AGAIN, revision=3, version=2)
     assert row_of(core).version_by_model == {"m": 2}
-    late = gossip.TargetVersion(lives.Life("llm-3", BORN_AGAIN), "m", 3, 2)
+    late = gossip.TargetVersion(
+        incarnations.TargetIncarnation("llm-3", BORN_AGAIN), "m", 3, 2
+    )
     gossip_of(core, target_versions=(late,))
     assert row_of(core).version_by_model == {"m": 2}
-    current = gossip.TargetVersion(lives.Life("llm-3", BORN_AGAIN), "m", 4, 3)
+    current = gossip.TargetVersion(
+        incarnations.TargetIncarnation("llm-3", BORN_AGAIN), "m", 4, 3
+    )
     gossip_of(core, target_versions=(current,))
     assert row_of(core).version_by_model == {"m": 4}
 
--- a/tests/decide/test_kvstores.py
+++ b/tests/decide/test_kvstores.py
@@ -39,7 +39,9 @@
 
 def report_parts(stores, *parts, boot=1, now=NOW, whole_list=False):
     part_events = tuple(kvstores.PartEvent("1", *part) for part in parts)
-    stores.take(kvstores.StoreChanged("s", boot, part_events, whole_list, 5000.0), now)
+    stores.handle(
+        kvstores.StoreChanged("s", boot, part_events, whole_list, 5000.0), now
+    )
 
 
 def plan(stores, now=NOW, preferred=None):
@@ -99,7 +101,7 @@
 
 
 def free(stores, kept, at):
-    stores.free_replaced(lambda salt: salt in kept, at)
+    stores.free_superseded(lambda salt: salt in kept, at)
     made = stores._state.take_commands()
     return [item for item in made if isinstance(item, kvstores.FreeParts)]
 
@@ -130,6 +132,6 @@
     recompute its parts.
     """
     report_parts(stores, ("b", 2000))
-    stores.take(kvstores.StoreHeard("s"), NOW + seconds(2))
+    stores.handle(kvstores.StoreRefused("s"), NOW + seconds(2))
     assert plan(stores, NOW + seconds(4)).fetch_from == (None, "s:1", None)
     assert plan(stores, NOW + seconds(5)).fetch_from == (None, None, None)
--- a/tests/decide/test_lease.py
+++ b/tests/decide/test_lease.py
@@ -38,11 +38,11 @@
         """Tick, and let the store answer at once unless the host is cut off."""
         self.lease.tick(now)
         if self.has_orders:
-            self.lease.ask_to_act(now)
+            self.lease.request_act(now)
         for command in self._collect_commands():
             answer = self._answer(command)
             if answer is not None:
-                self.lease.take(answer, now)
+                self.lease.handle(answer, now)
                 self._collect_commands()
 
     def _collect_commands(self):
@@ -169,7 +169,7 @@
     hosts[0].lease.tick(late)
     hosts[0].state.take_commands()
     record, revision = hosts[0].store
-    hosts[0].lease.take(lease.LeaseWritten(record, revision + 1), late)
+    hosts[0].lease.handle(lease.LeaseWritten(record, revision + 1), late)
     assert not hosts[0].lease.is_held(late)
 
 
@@ -189,8 +189,8 @@
     _, revision = holder.store
     holder.store[:] = [writes[0].record, revision + 1]
     late = NOW + seconds(sent_at + 0.7)
-    holder.lease.take(lease.LeaseUnknown(), late)
-    holder.lease.take(lease.LeaseFound(*holder.store), late)
+    holder.lease.handle(lease.LeaseUnknown(), late)
+    holder.lease.handle(lease.LeaseFound(*holder.store), late)
     assert holder.lease.is_held(NOW + seconds(sent_at + 1.4))
     assert not holder.lease.is_held(NOW + seconds(sent_at + 1.6))
 
@@ -212,15 +212,15 @@
         for command in leaving.state.take_commands():
             match command:
                 case lease.ReadLease():
-                    leaving.lease.take(lease.LeaseFound(*store), now)
+                    leaving.lease.handle(lease.LeaseFound(*store), now)
                 case lease.WriteLease():
                     taking = command.record
         at += 0.1
         assert at < 3
     now = NOW + seconds(at)
-    leaving.lease.give_back(now)
+    leaving.lease.release_for_good(now)
     store[:] = [taking, 1]
-    leaving.lease.take(lease.LeaseWritten(taking, 1), now)
+    leaving.lease.handle(lease.LeaseWritten(taking, 1), now)
     assert not leaving.lease.is_held(now)
     following.state.lease_release = leaving.state.lease_release
     held = run([leaving, following], at + 3, start=at)
@@ -299,7 +299,7 @@
             assert not isinstance(command, lease.WriteLease)
             if isinstance(command, lease.ReadLease):
                 asked += 1
-                host.lease.take(lease.LeaseFound(*store), now)
+                host.lease.handle(lease.LeaseFound(*store), now)
     assert asked == 1
 
 
@@ -318,7 +318,7 @@
         for command in host.state.take_commands():
             if isinstance(command, lease.ReadLease):
                 asked_at.append(0.1 * step)
-                host.lease.take(lease.LeaseUnknown(), now)
+                host.lease.handle(lease.LeaseUnknown(), now)
     assert 1 <= len(asked_at) <= 11
     assert asked_at[-1] < 5
 
@@ -414,12 +414,12 @@
     """
     host, at = idle_holder()
     now = NOW + seconds(at)
-    host.lease.ask_to_act(now)
+    host.lease.request_act(now)
     (write,) = (c for c in host.state.take_commands() if hasattr(c, "replaces"))
     assert not write.record.idle
     assert host.lease.is_held(now)
     assert not host.lease.may_act(now)
-    host.lease.take(lease.LeaseWritten(write.record, write.replaces + 1), now)
+    host.lease.handle(lease.LeaseWritten(write.record, write.replaces + 1), now)
     assert host.lease.may_act(now)
 
 
@@ -439,19 +439,19 @@
     assert idle.record.idle
     now = NOW + seconds(at)
     assert not host.lease.may_act(now)
-    host.lease.take(lease.LeaseUnknown(), now)
-    host.lease.take(lease.LeaseFound(*host.store), now)
+    host.lease.handle(lease.LeaseUnknown(), now)
+    host.lease.handle(lease.LeaseFound(*host.store), now)
     host.state.take_commands()
     assert not host.lease.may_act(now)
-    host.lease.ask_to_act(now)
+    host.lease.request_act(now)
     (active,) = (c for c in host.state.take_commands() if hasattr(c, "replaces"))
     host.store[:] = [idle.record, idle.replaces + 1]
-    host.lease.take(lease.LeaseFound(*host.store), now)
+    host.lease.handle(lease.LeaseFound(*host.store), now)
     assert not host.lease.may_act(now)
     again = written(host, now + seconds(0.1))
     assert again.replaces == idle.replaces + 1
     assert not again.record.idle
-    host.lease.take(lease.LeaseWritten(again.record, again.replaces + 1), now)
+    host.lease.handle(lease.LeaseWritten(again.record, again.replaces + 1), now)
     assert host.lease.may_act(now)
     assert active.replaces == idle.replaces
 
@@ -496,7 +496,7 @@
     first = written(host, NOW + seconds(0.1))
     second = written(host, NOW + seconds(3.2))
     late = NOW + seconds(3.3)
-    host.lease.take(lease.LeaseWritten(first.record, 1), late)
+    host.lease.handle(lease.LeaseWritten(first.record, 1), late)
     assert second.record != first.record
     assert not host.lease.is_held(late)
 
@@ -512,7 +512,7 @@
     host = Host("entry-1", store, incarnation=2)
     run([host], 0.3, start=0)
     assert host.lease.epoch == 7
-    host.lease.take(lease.LeaseFound(old, 9), NOW + seconds(0.3))
+    host.lease.handle(lease.LeaseFound(old, 9), NOW + seconds(0.3))
     assert host.lease.epoch == 7
     assert host.lease.may_act(NOW + seconds(0.3))
 
@@ -585,7 +585,7 @@
         now = NOW + seconds(self.at)
         host.lease.tick(now)
         if ordering:
-            host.lease.ask_to_act(now)
+            host.lease.request_act(now)
         if ordering and host.lease.may_act(now) and self.random.random() < 0.3:
             host.lease.note_act(now)
             self.acts.append((self.at, host.state.me.name, host.lease.epoch))
@@ -632,7 +632,7 @@
 
     def _take(self, number, answer):
         host = self.hosts[number]
-        host.lease.take(answer, NOW + seconds(self.at))
+        host.lease.handle(answer, NOW + seconds(self.at))
         for command in host.state.take_commands():
             self._carry_out(number, command)
 
--- a/tests/decide/test_membership.py
+++ b/tests/decide/test_membership.py
@@ -100,7 +100,7 @@
     daemon, state = caller
     other, other_state = answerer
     state.take_commands()
-    daemon.spread(now)
+    daemon.start_round(now)
     for command in state.take_commands():
         if not isinstance(command, commands.GossipTo):
             continue
@@ -109,7 +109,7 @@
         for reply in other_state.take_commands():
             if isinstance(reply, commands.GossipReply):
                 address = other_state.me.peer_address
-                daemon.answered(gossip.GossipAnswered(address, reply.message), now)
+                daemon.receive_reply(gossip.GossipAnswered(address, reply.message), now)
 
 
 def test_an_address_that_becomes_known_reaches_other_data_centres():
@@ -187,7 +187,7 @@
     introduce(here[1], there[1])
     introduce(there[1], here[1])
     run_round(there, here, NOW)
-    there[0].has_left(NOW)
+    there[0].announce_departure(NOW)
     run_round(here, there, NOW + ROUND)
     assert here[1].entries.get("b").state is events.HostState.LEFT
     again = make_daemon("b", data_centre, incarnation=after)
@@ -258,7 +258,7 @@
     row = world.TargetRow("llm-1", "llm", None, "dc-1", False, "llm-1:80")
     row.sent_by_request["r"] = world.SentWork(NOW, 15_000)
     state.targets.add(row)
-    state.tells_pending = True
+    state.must_announce_pending = True
     return daemon, state
 
 
@@ -281,7 +281,7 @@
     message = sent_messages[0].message
     assert message.brief
     (pending,) = message.pending
-    assert (pending.life.name, pending.tokens) == ("llm-1", 15_000)
+    assert (pending.incarnation.name, pending.tokens) == ("llm-1", 15_000)
     assert gossip_of(daemon, state, NOW + ROUND / 2) == []
 
 
@@ -311,7 +311,7 @@
         "entry-1", "dc-1", "u", "p", "", 1, 9, events.HostState.LIVE, 0
     )
     message = gossip.GossipMessage("entry-9", "dc-2", members=(lost,))
-    daemon.answered(gossip.GossipAnswered("entry-9:81", message), started)
+    daemon.receive_reply(gossip.GossipAnswered("entry-9:81", message), started)
     now = started
     while now < lost_at + datetime.timedelta(seconds=5):
         now += ROUND / 4
@@ -355,7 +355,7 @@
         0,
     )
     message = gossip.GossipMessage("elsewhere", data_centre, members=(record,))
-    daemon[0].answered(gossip.GossipAnswered("elsewhere:81", message), now)
+    daemon[0].receive_reply(gossip.GossipAnswered("elsewhere:81", message), now)
 
 
 def answer(other, message, now):
@@ -383,7 +383,7 @@
             if other is None or {state.me.name, other[1].me.name} in cut:
                 continue
             message = answer(other, command.message, now)
-            daemon.answered(gossip.GossipAnswered(address, message), now)
+            daemon.receive_reply(gossip.GossipAnswered(address, message), now)
 
 
 def play(daemons, now, duration, cut=()):
@@ -486,7 +486,7 @@
     now = NOW
     for _ in range(2 * startupprobes.UNANSWERED_ROUNDS):
         now += TICK
-        here[0].spread_soon()
+        here[0].request_round()
         here[0].tick(now)
     assert state_of(here, "b") is events.HostState.LIVE
 
@@ -506,7 +506,7 @@
     }
     for name in NAMES:
         message = gossip.GossipMessage(name, "dc-1")
-        here[0].answered(gossip.GossipAnswered(f"{name}:81", message), NOW + TICK)
+        here[0].receive_reply(gossip.GossipAnswered(f"{name}:81", message), NOW + TICK)
     sent_messages = gossip_of(*here, NOW + TICK + INTERVAL)
     assert len(sent_messages) == membership.PEERS_INSIDE
 
@@ -605,7 +605,7 @@
     announced = []
     for number in range(world.VERSION_ROUNDS + 2):
         state.take_commands()
-        daemon.spread(NOW + number * ROUND)
+        daemon.start_round(NOW + number * ROUND)
         sent = [
             item
             for item in state.take_commands()
@@ -628,7 +628,7 @@
         begun = 0
         for number in range(200):
             state.take_commands()
-            daemon.spread(NOW + number * ROUND)
+            daemon.start_round(NOW + number * ROUND)
             begun += sum(
                 item.peer_address == "far-1:81" for item in state.take_commands()
             )
--- a/tests/decide/test_placement.py
+++ b/tests/decide/test_placement.py
@@ -94,7 +94,7 @@
 
 def test_a_plain_target_with_less_to_do_goes_first():
     rows = [make_row("a", reported_load=6, slots=6), make_row("b", slots=6)]
-    assert placement.choose_plain(rows, "dc-1", NOW) is rows[1]
+    assert placement.choose_service_target(rows, "dc-1", NOW) is rows[1]
 
 
 def test_contexts_without_their_preferred_engine_spread_over_all_engines():
--- a/tests/decide/test_prompts.py
+++ b/tests/decide/test_prompts.py
@@ -12,7 +12,7 @@
     fairqueue,
     fingerprints,
     hashing,
-    lives,
+    incarnations,
 )
 
 START = datetime.datetime(2026, 12, 7, 9, tzinfo=datetime.UTC)
@@ -117,10 +117,10 @@
     an engine and cut off when they closed.
     """
     made = make_core(["engine-0"])
-    made.step(START, [events.LeaveAsked(START + datetime.timedelta(seconds=60))])
+    made.step(START, [events.LeaveRequested(START + datetime.timedelta(seconds=60))])
     before, *_ = made.step(START, [arrival("before", START)])
     assert isinstance(before, commands.SendPrompt)
-    made.step(START, [events.HasLeft()])
+    made.step(START, [events.DepartureFinished()])
     (after,) = [
         command
         for command in made.step(START, [arrival("after", START)])
@@ -136,8 +136,8 @@
     sent = next(item for item in found if isinstance(item, commands.SendPrompt))
     lost, gone = events.Ending.LINK_LOST, events.Ending.NOT_SENT
     made.step(now, [events.AttemptEnded(request_id, sent.attempt, lost)])
-    life = made.crashes.life_of(made.state.targets.get(sent.target))
-    made.step(now, [crashes.LifeRefuses(life)])
+    incarnation = made.crashes.incarnation_of(made.state.targets.get(sent.target))
+    made.step(now, [crashes.TargetRefusesConnections(incarnation)])
     return made.step(now, [events.AttemptEnded(request_id, sent.attempt + 1, gone)])
 
 
@@ -178,10 +178,12 @@
     found = made.step(now, [bad_arrival("r1", now)])
     crash_target_of(made, "r1", now, found)
     row = made.state.targets.get("engine-0")
-    assert made.crashes.life_of(row) == lives.Life("engine-0", 1)
-    row.shunned_until = None
+    assert made.crashes.incarnation_of(row) == incarnations.TargetIncarnation(
+        "engine-0", 1
+    )
+    row.ejected_until = None
     now += datetime.timedelta(seconds=5)
     sent = made.step(now, [arrival("r2", now)])[-1]
     made.step(now, [events.FirstToken(sent.request_id, 0, 10)])
-    (crash,) = made.crashes.crash_by_life.values()
+    (crash,) = made.crashes.crash_by_incarnation.values()
     assert not crash.is_refuted
--- a/tests/decide/test_quarantine.py
+++ b/tests/decide/test_quarantine.py
@@ -19,7 +19,7 @@
     fingerprints,
     gateway,
     gossip,
-    lives,
+    incarnations,
     quarantine,
     routes,
     sends,
@@ -45,9 +45,12 @@
 def crash(core, number, *suspects, after=0.0):
     """Record a crash of a target under some requests, `after` seconds from `NOW`."""
     record = gossip.TargetCrash(
-        lives.Life(f"llm-{number}", 1), "llm", NOW + after * SECOND, suspects
+        incarnations.TargetIncarnation(f"llm-{number}", 1),
+        "llm",
+        NOW + after * SECOND,
+        suspects,
     )
-    core.crashes.hear([record], ())
+    core.crashes.merge([record], ())
 
 
 def judge(core, after):
@@ -125,7 +128,7 @@
     for _ in range(3):
         crash(core, 1, BAD)
     crash(core, 1, BAD, OTHER)
-    assert core.quarantine.suspicion(BAD) == 1
+    assert core.quarantine.possible_crash_count(BAD) == 1
     assert judge(core, 5.0)[0] == set()
 
 
@@ -135,7 +138,11 @@
     crash(core, 2, BAD, OTHER, after=0.6)
     crash(core, 3, BAD, THIRD, after=1.2)
     assert judge(core, 2.0)[0] == {BAD}
-    assert core.quarantine.suspicion(OTHER) == core.quarantine.suspicion(THIRD) == 0
+    assert (
+        core.quarantine.possible_crash_count(OTHER)
+        == core.quarantine.possible_crash_count(THIRD)
+        == 0
+    )
 
 
 def test_suspects_that_always_ran_together_are_told_apart_by_the_next_crash(core):
@@ -146,7 +153,7 @@
     assert code_of(core, after=2.5) is None
     crash(core, 4, BAD, after=3.0)
     assert judge(core, 3.6)[0] == {BAD}
-    assert core.quarantine.suspicion(OTHER) == 0
+    assert core.quarantine.possible_crash_count(OTHER) == 0
 
 
 def test_suspects_that_crashed_two_targets_are_tried_apart(core):
@@ -155,7 +162,7 @@
         crash(core, number, BAD, OTHER, THIRD)
     rows = list(core.state.targets.where("pool", "llm"))
     chosen = [
-        core.quarantine.narrow(fingerprint, rows, NOW)
+        core.quarantine.permitted_targets(fingerprint, rows, NOW)
         for fingerprint in (BAD, OTHER, THIRD)
     ]
     names = {row.name for found in chosen for row in found}
@@ -174,7 +181,8 @@
             crash(made, 1, fingerprint)
             rows = list(made.state.targets)
             places |= {
-                row.name for row in made.quarantine.narrow(fingerprint, rows, NOW)
+                row.name
+                for row in made.quarantine.permitted_targets(fingerprint, rows, NOW)
             }
         assert len(places) == 1
 
@@ -192,16 +200,16 @@
     """Targets crash by themselves under equal requests that succeed elsewhere."""
     for number in (1, 2, 3, 4):
         crash(core, number, BAD, after=2.0 * number)
-        core.quarantine.served(BAD, NOW + (2.0 * number + 1.5) * SECOND)
+        core.quarantine.record_success(BAD, NOW + (2.0 * number + 1.5) * SECOND)
     assert judge(core, 10.0)[0] == set()
-    assert core.quarantine.suspicion(BAD) == 0
+    assert core.quarantine.possible_crash_count(BAD) == 0
 
 
 def test_a_crash_after_a_good_run_counts(core):
     crash(core, 1, BAD)
-    core.quarantine.served(BAD, NOW + 2 * SECOND)
+    core.quarantine.record_success(BAD, NOW + 2 * SECOND)
     crash(core, 2, BAD, after=4.0)
-    assert core.quarantine.suspicion(BAD) == 1
+    assert core.quarantine.possible_crash_count(BAD) == 1
 
 
 def test_two_causes_at_once_are_both_found(core):
@@ -215,18 +223,20 @@
     """Three targets behind a broken link seem dead to one host, but answer later."""
     for number in (1, 2, 3):
         crash(core, number, BAD, after=0.6 * number)
-        core.crashes.answered(lives.Life(f"llm-{number}", 1), NOW + 10 * SECOND)
+        core.crashes.record_answer(
+            incarnations.TargetIncarnation(f"llm-{number}", 1), NOW + 10 * SECOND
+        )
     assert judge(core, 12.0)[0] == set()
 
 
 def test_a_clearing_that_goes_round_is_not_announced_again(core):
     """Each host receives a clearing with a slightly later time and would forward it."""
     crash(core, 1, BAD)
-    core.quarantine.served(BAD, NOW + 2 * SECOND)
-    core.state.tells_crashes = False
+    core.quarantine.record_success(BAD, NOW + 2 * SECOND)
+    core.state.must_announce_crashes = False
     record = gossip.ClearedRequest(BAD, NOW + 2.03 * SECOND)
-    core.quarantine.hear(gossip.CrashNews(cleared=(record,)), NOW + 2.1 * SECOND)
-    assert not core.state.tells_crashes
+    core.quarantine.merge(gossip.CrashNews(cleared=(record,)), NOW + 2.1 * SECOND)
+    assert not core.state.must_announce_crashes
 
 
 # State that outlasts a host.
@@ -237,10 +247,10 @@
         crash(core, number, BAD)
     for _ in range(20):
         core.quarantine.note_round()
-    assert core.quarantine.told(False).crashes == ()
+    assert core.quarantine.records_to_announce(False).crashes == ()
     started = make_core()
-    started.quarantine.hear(core.quarantine.told(True), NOW)
-    assert started.quarantine.suspicion(BAD) == 2
+    started.quarantine.merge(core.quarantine.records_to_announce(True), NOW)
+    assert started.quarantine.possible_crash_count(BAD) == 2
 
 
 def test_a_quarantine_is_written_once_and_read_from_the_platform(core):
@@ -272,7 +282,7 @@
 
 def test_an_unwritten_record_is_written_once_the_platform_is_back(core):
     crash_thrice(core)
-    core.step(NOW + 3 * SECOND, [quarantine.QuarantineUnwritten(BAD)])
+    core.step(NOW + 3 * SECOND, [quarantine.QuarantineWriteFailed(BAD)])
     assert writes(judge(core, 3.1)[1]) == []
     assert writes(judge(core, 5.0)[1])
 
@@ -288,7 +298,7 @@
     core.step(NOW + SECOND, [quarantine.QuarantineLifted(BAD)])
     assert code_of(core) is None
     late = gossip.CrashNews(quarantined=(record,))
-    core.quarantine.hear(late, NOW + 2 * SECOND)
+    core.quarantine.merge(late, NOW + 2 * SECOND)
     assert code_of(core) is None
 
 
@@ -309,7 +319,7 @@
     quarantined(core)
     assert writes(judge(core, 9 * 60)[1]) == []
     (wanted,) = writes(judge(core, 11 * 60)[1])
-    assert wanted.is_try
+    assert wanted.is_trial
     tried = gossip.QuarantinedRequest(BAD, NOW, 3, 1, revision=10)
     core.step(NOW + 11 * MINUTE, [quarantine.QuarantineWritten(tried, True)])
     assert code_of(core, after=11 * 60) is None
@@ -332,7 +342,7 @@
 
 def test_a_successful_trial_lifts_the_quarantine(core):
     quarantined(core)
-    core.quarantine.served(BAD, NOW + 11 * MINUTE)
+    core.quarantine.record_success(BAD, NOW + 11 * MINUTE)
     assert code_of(core, after=11 * 60) is None
     found = core.step(NOW + 11 * MINUTE, [])
     assert quarantine.RemoveQuarantine(BAD) in found
@@ -343,14 +353,17 @@
         record = gossip.QuarantinedRequest(
             f"{number:032x}", NOW + datetime.timedelta(seconds=number), 3, revision=9
         )
-        core.quarantine.take(quarantine.QuarantineRead(record), NOW)
+        core.quarantine.handle(quarantine.QuarantineRead(record), NOW)
     assert len(core.quarantine.record_by_fingerprint) == 1024
     for number in range(600):
         record = gossip.TargetCrash(
-            lives.Life(f"x{number}"), "llm", NOW, (f"{number:032x}", BAD)
+            incarnations.TargetIncarnation(f"x{number}"),
+            "llm",
+            NOW,
+            (f"{number:032x}", BAD),
         )
-        core.crashes.hear([record], ())
-    assert len(core.crashes.crash_by_life) == 128
+        core.crashes.merge([record], ())
+    assert len(core.crashes.crash_by_incarnation) == 128
 
 
 def test_a_message_has_room_for_the_suspects_of_several_crashes():
@@ -359,7 +372,7 @@
     for number in range(20):
         others = tuple(f"{number:02x}{other:030x}" for other in range(60))
         crash(core, number, *others, BAD)
-    announced = core.quarantine.told(False).crashes
+    announced = core.quarantine.records_to_announce(False).crashes
     assert sum(len(item.suspects) for item in announced) <= 400
     assert BAD in announced[0].suspects
     assert BAD in announced[-1].suspects
--- a/tests/decide/test_readings.py
+++ b/tests/decide/test_readings.py
@@ -43,7 +43,7 @@
     run(running, NOW, NOW + 5 * SECOND)
     reading = read.watched(KIND, 11, NOW, NOW + 5 * SECOND)
     assert reading.above == 10
-    assert reading.event_of("m", 2) == weights.VersionNamed("m", 2)
+    assert reading.event_of("m", 2) == weights.VersionAnnounced("m", 2)
 
 
 def test_a_change_that_a_watch_returns_at_once_may_be_as_old_as_the_last_reading(
@@ -68,7 +68,7 @@
 
 def test_what_a_list_shows_soon_after_a_reading_has_just_happened(read):
     reading = read.listed(KIND, 11, NOW + SECOND / 2, NOW + SECOND / 2)
-    assert reading.event_of("m", 2) == weights.VersionNamed("m", 2)
+    assert reading.event_of("m", 2) == weights.VersionAnnounced("m", 2)
 
 
 def test_an_answer_of_a_peer_gives_no_age():
--- a/tests/decide/test_retries.py
+++ b/tests/decide/test_retries.py
@@ -8,7 +8,7 @@
 
 def delay_seconds(failures):
     source = random.Random(failures)
-    return retries.outage_pause(failures, source) / datetime.timedelta(seconds=1)
+    return retries.outage_backoff(failures, source) / datetime.timedelta(seconds=1)
 
 
 def test_an_unavailable_platform_is_called_less_and_less_often():
--- a/tests/decide/test_rollout.py
+++ b/tests/decide/test_rollout.py
@@ -28,7 +28,7 @@
 def make_core():
     """Return a gateway that holds the lease and knows five engines."""
     me = events.Host("entry-1", "entry", "dc-1", "u", "p")
-    made = gateway.Gateway(me, gateway.Terms(budgets.BudgetRule()))
+    made = gateway.Gateway(me, gateway.PlatformLimits(budgets.BudgetRule()))
     targets = tuple(
         targetlist.ListedTarget(
             f"llm-{number}", "llm", f"a:{number}", "dc-1", 8, False, {"m": 1}, 1
@@ -48,7 +48,7 @@
 def core():
     """Return a gateway with the lease, and five engines with superseded weights."""
     made = make_core()
-    made.step(NOW, [weights.VersionNamed("m", 2)])
+    made.step(NOW, [weights.VersionAnnounced("m", 2)])
     return made
 
 
@@ -123,7 +123,7 @@
     assert idle.record.idle
     core.step(now, [lease.LeaseWritten(idle.record, 2)])
     now += seconds(0.1)
-    commands = core.step(now, [weights.VersionNamed("m", 2), events.Tick()])
+    commands = core.step(now, [weights.VersionAnnounced("m", 2), events.Tick()])
     name = report_requests(commands)[0]
     (active,) = writes(commands)
     assert not active.record.idle
@@ -370,7 +370,7 @@
         "llm-0", "llm", "a:0", "dc-1", 8, False, {"m": 1}, 5, born=1000
     )
     core.step(NOW, [targetlist.TargetsListed((one,))])
-    core.step(NOW, [weights.VersionNamed("m", 2)])
+    core.step(NOW, [weights.VersionAnnounced("m", 2)])
     (name,) = report_requests(core.step(NOW, [events.Tick()]))
     before = rollout.Reported(name, 4, False, {"m": 1}, 1000)
     assert orders(core.step(NOW, [before]))
@@ -386,7 +386,7 @@
 
 def test_an_engine_that_loads_is_ordered_to_the_newest_version_after(engines):
     engines.run(0.5)
-    engines.step(weights.VersionNamed("m", 3))
+    engines.step(weights.VersionAnnounced("m", 3))
     engines.run(8)
     assert set(engines.version_by_name.values()) == {3}
     assert all(order.version == 3 for at, order in engines.orders if at > 0.5)
@@ -400,7 +400,7 @@
     """
     engines.losing_orders = {"llm-0", "llm-1"}
     engines.run(0.5)
-    engines.step(weights.VersionNamed("m", 3))
+    engines.step(weights.VersionAnnounced("m", 3))
     engines.losing_orders = set()
     engines.run(0.9)
     newest = [order for at, order in engines.orders if at >= 0.5]
@@ -417,7 +417,7 @@
     now = NOW + seconds(0.6)
     (idle,) = writes(core.step(now, [events.Tick()]))
     core.step(now, [lease.LeaseWritten(idle.record, 2)])
-    core.step(now, [weights.VersionNamed("m", 2)])
+    core.step(now, [weights.VersionAnnounced("m", 2)])
     names = report_requests(core.step(now, [events.Tick()]))
     core.step(now, [report(name) for name in names])
     out = []
--- a/tests/decide/test_slices.py
+++ b/tests/decide/test_slices.py
@@ -140,7 +140,7 @@
             case "grant":
                 self.feed(receiver, events.SlicesGranted(*content))
             case "told":
-                self.feed(receiver, events.HoldingsTold(*content))
+                self.feed(receiver, events.HoldingsReported(*content))
 
     def deliver_kind(self, kind, receiver=""):
         """Deliver the waiting messages of one kind, to one receiver or to all."""
