--- a/tests/decide/test_storerelay.py
+++ b/tests/decide/test_storerelay.py
@@ -15,7 +15,7 @@
 )
 
 NOW = datetime.datetime(2026, 3, 1, 9, 0, tzinfo=datetime.UTC)
-TERMS = gateway.Terms(None)
+TERMS = gateway.PlatformLimits(None)
 STORES = 21
 MAX_REQUESTS = 12
 
@@ -54,7 +54,7 @@
         core = gateway.Gateway(host, TERMS, seed=seed)
         for other in hosts:
             if other.name != host.name:
-                core.state.put_entry(catalogue.me_as_entry(other))
+                core.state.put_entry(catalogue.own_entry_row(other))
             core.state.entries.get(other.name).heard_at = NOW
         core.state.entries.get(host.name).url = host.url
         core.state.note_view_change()
@@ -72,7 +72,7 @@
 
 def report_parts(core, *parts, since, position, boot=1, whole_list=False, now=NOW):
     part_events = tuple(kvstores.PartEvent("1", *part) for part in parts)
-    core.stores.take(
+    core.stores.handle(
         kvstores.StoreChanged(
             "store-0", boot, part_events, whole_list, 5000.0, since, position
         ),
@@ -85,7 +85,7 @@
     core_by_address = {core.state.me.peer_address: core for core in hosts.values()}
     for core in hosts.values():
         core.state.take_commands()
-        core.membership.spread(now)
+        core.membership.start_round(now)
         for command in core.state.take_commands():
             if isinstance(command, commands.GossipTo):
                 answer(core, core_by_address[command.peer_address], command, now)
@@ -97,7 +97,9 @@
     for reply in peer.state.take_commands():
         if isinstance(reply, commands.GossipReply):
             address = peer.state.me.peer_address
-            core.membership.answered(gossip.GossipAnswered(address, reply.message), now)
+            core.membership.receive_reply(
+                gossip.GossipAnswered(address, reply.message), now
+            )
 
 
 def parts_of(core):
@@ -109,7 +111,7 @@
     hosts = make_hosts(count, data_centres=3)
     for number in range(STORES):
         assert len(followers_of(hosts, f"store-{number}")) == count
-    assert next(iter(hosts.values())).stores.relay.words() == ()
+    assert next(iter(hosts.values())).stores.relay.states_for() == ()
 
 
 def test_two_hosts_of_each_data_centre_follow_a_store_of_a_large_fleet():
@@ -171,15 +173,15 @@
 
 def ask_peer(core, other):
     """Have a host get another's answer in one gossip round."""
-    words = core.stores.relay.words()
+    words = core.stores.relay.states_for()
     relay = other.stores.relay
     message = gossip.GossipMessage(
         "e",
         "dc-0",
-        store_words=relay.words(),
-        store_news=relay.news_for(words),
+        store_words=relay.states_for(),
+        store_news=relay.updates_for(words),
     )
-    core.stores.relay.hear(message)
+    core.stores.relay.merge(message)
 
 
 @pytest.fixture
@@ -195,7 +197,7 @@
 def test_changes_are_sent_and_not_the_whole_list(pair):
     first, second = pair
     report_parts(second, ("b", 200), since=5, position=7, now=NOW + seconds(1))
-    news = second.stores.relay.news_for(first.stores.relay.words())
+    news = second.stores.relay.updates_for(first.stores.relay.states_for())
     assert [(item.whole_list, len(item.parts)) for item in news] == [(False, 1)]
 
 
@@ -263,7 +265,7 @@
 
 def test_peers_learn_that_a_store_is_unavailable_and_that_it_is_back(pair):
     first, second = pair
-    second.stores.take(kvstores.StoreSilent("store-0"), NOW + seconds(1))
+    second.stores.handle(kvstores.StoreUnavailable("store-0"), NOW + seconds(1))
     ask_peer(first, second)
     assert not first.stores.rows.get("store-0").is_available(NOW + seconds(1))
     report_parts(second, since=5, position=5, now=NOW + seconds(2))
--- a/tests/decide/test_weights.py
+++ b/tests/decide/test_weights.py
@@ -12,11 +12,11 @@
 
 from sesamespindle.daemon import peermessages
 from sesamespindle.decide import (
+    announcements,
     budgets,
     events,
     gateway,
     gossip,
-    namings,
     targetlist,
     weights,
 )
@@ -43,7 +43,9 @@
 def gossip_versions(sender, receiver, at):
     """Send a host's announced versions to another one, by the wire format."""
     sender.step(at, [events.Tick()])
-    message = gossip.GossipMessage("entry-2", "dc-1", named=sender.state.namings.told)
+    message = gossip.GossipMessage(
+        "entry-2", "dc-1", named=sender.state.announcements.told
+    )
     raw = peermessages.gossip_to_wire(message, 0, at).SerializeToString()
     parsed = type(peermessages.gossip_to_wire(message, 0, at)).FromString(raw)
     decoded = peermessages.gossip_from_wire(parsed, at)
@@ -57,7 +59,7 @@
     announcement knows: of the 6.4 s, 1.4 s are left.
     """
     peer, started = make_core(), make_core()
-    peer.step(NOW, [weights.VersionNamed("m", 2)])
+    peer.step(NOW, [weights.VersionAnnounced("m", 2)])
     later = NOW + 5 * SECOND
     started.step(later, [weights.VersionFound("m", 2, None)])
     assert not may_begin(started, later)
@@ -68,8 +70,8 @@
 
 def test_the_earliest_time_at_which_a_host_received_an_announcement_counts():
     first, last = make_core(), make_core()
-    first.step(NOW, [weights.VersionNamed("m", 2)])
-    last.step(NOW + 3 * SECOND, [weights.VersionNamed("m", 2)])
+    first.step(NOW, [weights.VersionAnnounced("m", 2)])
+    last.step(NOW + 3 * SECOND, [weights.VersionAnnounced("m", 2)])
     gossip_versions(first, last, NOW + 4 * SECOND)
     assert not may_begin(last, NOW + 6.5 * SECOND)
     gossip_versions(last, first, NOW + 4 * SECOND)
@@ -79,17 +81,17 @@
 def test_versions_announced_too_long_ago_to_matter_are_not_gossiped():
     """They are gossiped for 11 s: the 8 s, and 3 s for hosts that have just started."""
     core = make_core()
-    core.step(NOW, [weights.VersionNamed("m", 2)])
+    core.step(NOW, [weights.VersionAnnounced("m", 2)])
     core.step(NOW + 10 * SECOND, [events.Tick()])
-    assert [naming.version for naming in core.state.namings.told] == [2]
+    assert [naming.version for naming in core.state.announcements.told] == [2]
     core.step(NOW + 12 * SECOND, [events.Tick()])
-    assert core.state.namings.told == ()
+    assert core.state.announcements.told == ()
 
 
 def test_an_unknown_age_is_not_gossiped():
     core = make_core()
     core.step(NOW, [weights.VersionFound("m", 2, None), events.Tick()])
-    assert core.state.namings.told == ()
+    assert core.state.announcements.told == ()
 
 
 def test_a_lower_bound_of_an_announcements_time_is_gossiped():
@@ -107,7 +109,7 @@
     gossip_versions(reader, other, later)
     assert may_begin(other, NOW + 11 * SECOND)
     assert not may_begin(other, NOW + 11.5 * SECOND)
-    other.step(later, [weights.VersionNamed("m", 2)])
+    other.step(later, [weights.VersionAnnounced("m", 2)])
     assert may_begin(other, NOW + 12 * SECOND)
 
 
@@ -119,9 +121,9 @@
     announcement until the engines have loaded the new one.
     """
     first, second = make_core(), make_core()
-    first.step(NOW, [weights.VersionNamed("m", 2)])
+    first.step(NOW, [weights.VersionAnnounced("m", 2)])
     gossip_versions(first, second, NOW)
-    second.step(NOW, [weights.VersionNamed("m", 2)])
+    second.step(NOW, [weights.VersionAnnounced("m", 2)])
     assert may_begin(second, NOW + SECOND)
     gossip_versions(second, first, NOW)
     assert may_begin(first, NOW + SECOND)
@@ -129,8 +131,8 @@
 
 def test_an_older_version_that_is_received_late_is_the_predecessor():
     core = make_core()
-    core.step(NOW, [weights.VersionNamed("m", 3)])
-    core.step(NOW, [weights.VersionNamed("m", 2)])
+    core.step(NOW, [weights.VersionAnnounced("m", 3)])
+    core.step(NOW, [weights.VersionAnnounced("m", 2)])
     assert may_begin(core, NOW + SECOND)
 
 
@@ -142,8 +144,8 @@
     """
     core = make_core()
     core.step(NOW, [events.Tick()])
-    core.step(NOW + SECOND / 20, [weights.VersionNamed("m", 2)])
-    assert [naming.version for naming in core.state.namings.told] == [2]
+    core.step(NOW + SECOND / 20, [weights.VersionAnnounced("m", 2)])
+    assert [naming.version for naming in core.state.announcements.told] == [2]
 
 
 def test_ages_in_a_delayed_answer_count_from_its_request():
@@ -151,7 +153,7 @@
 
     Ages in the answer count from when the host asked, so that they aren't too low.
     """
-    received = (namings.Naming("m", 2, 1, NOW, True),)
+    received = (announcements.Naming("m", 2, 1, NOW, True),)
     message = gossip.GossipMessage("entry-2", "dc-1", named=received)
     raw = peermessages.gossip_to_wire(message, 0, NOW)
     parsed = peermessages.gossip_from_wire(raw, NOW + 4 * SECOND, sent_after=NOW)
@@ -168,7 +170,7 @@
     core = make_core()
     core.step(NOW, [weights.VersionFound("m", 2, None)])
     later = NOW + 20 * SECOND
-    core.step(later, [weights.VersionNamed("m", 3)])
+    core.step(later, [weights.VersionAnnounced("m", 3)])
     assert not may_begin(core, later)
     core.state.targets.get("llm-3").learn_version("m", 2)
     assert may_begin(core, later)
@@ -177,7 +179,7 @@
 def test_a_version_received_without_the_one_before_it_makes_older_weights_too_old():
     core = make_core()
     later = NOW + 20 * SECOND
-    received = (namings.Naming("m", 3, 2, later, True),)
+    received = (announcements.Naming("m", 3, 2, later, True),)
     message = gossip.GossipMessage("entry-2", "dc-1", named=received)
     core.step(later, [gossip.GossipAnswered("10.0.0.2:81", message)])
     assert not may_begin(core, later)
@@ -207,7 +209,7 @@
     """
     me = events.Host("entry-1", "entry", "dc-1", "10.0.0.1:80", "10.0.0.1:81")
     core = gateway.Gateway(
-        me, gateway.Terms(budgets.BudgetRule()), started_at=NOW - 1.6 * SECOND
+        me, gateway.PlatformLimits(budgets.BudgetRule()), started_at=NOW - 1.6 * SECOND
     )
     target = gateways.make_target("llm-3", "llm", versions={"m": 1})
     core.step(NOW, [targetlist.TargetsListed((target,))])
@@ -241,19 +243,21 @@
 
 def test_a_received_announcement_takes_precedence_in_any_order():
     """A time at which it wasn't announced yet, or an unknown one, changes nothing."""
-    announced = namings.Naming("m", 2, 1, NOW, True)
-    found = namings.Naming("m", 2, 0, NOW - 5 * SECOND, False)
-    unknown = namings.Naming("m", 2, 0, None, False)
+    announced = announcements.Naming("m", 2, 1, NOW, True)
+    found = announcements.Naming("m", 2, 0, NOW - 5 * SECOND, False)
+    unknown = announcements.Naming("m", 2, 0, None, False)
     for order in ([announced, found, unknown], [unknown, found, announced]):
-        known = namings.Namings()
+        known = announcements.Announcements()
         for naming in order:
             known.learn(naming)
         assert known.get("m", 2) == announced
 
 
 def test_the_higher_of_two_lower_bounds_of_an_announcements_time_counts():
-    known = namings.Namings()
-    known.learn(namings.Naming("m", 2, 0, None, False))
-    known.learn(namings.Naming("m", 2, 1, NOW, False))
-    known.learn(namings.Naming("m", 2, 1, NOW - datetime.timedelta(seconds=1), False))
-    assert known.get("m", 2) == namings.Naming("m", 2, 1, NOW, False)
+    known = announcements.Announcements()
+    known.learn(announcements.Naming("m", 2, 0, None, False))
+    known.learn(announcements.Naming("m", 2, 1, NOW, False))
+    known.learn(
+        announcements.Naming("m", 2, 1, NOW - datetime.timedelta(seconds=1), False)
+    )
+    assert known.get("m", 2) == announcements.Naming("m", 2, 1, NOW, False)
--- a/tests/platform/test_dialect.py
+++ b/tests/platform/test_dialect.py
@@ -89,7 +89,7 @@
     header_fields = {name.replace("_", "-"): value for name, value in headers.items()}
     answer_headers = multidict.CIMultiDict({"X-Attempt-Id": "r1"} | header_fields)
     forward = make_forward(repeats=repeats, version=version)
-    return dialect.Dialect().judge(forward, status, answer_headers)
+    return dialect.Dialect().ending_of(forward, status, answer_headers)
 
 
 def test_an_answer_to_another_request_counts_as_lost():
--- a/tests/platform/test_entries.py
+++ b/tests/platform/test_entries.py
@@ -36,7 +36,7 @@
         self.calls.append(text)
         if self.failures:
             self.failures -= 1
-            raise platform.PlatformAwayError("The platform is unavailable.")
+            raise platform.PlatformUnavailableError("The platform is unavailable.")
 
     async def list(self, kind, allow_stale=False):
         self._call("old list" if allow_stale else "list")
--- a/tests/platform/test_path.py
+++ b/tests/platform/test_path.py
@@ -229,7 +229,7 @@
         target = await world.add_target("desk-1")
         daemon = await world.add_daemon()
         assert (await world.ask(daemon, "/once/1", "r1"))[0] == 200
-        target.begin_life(is_seen=False)
+        target.begin_incarnation(is_seen=False)
         await world.store.put("servers", "desk-1", target.entry())
         await world.until(lambda: _has_logged(daemon, "target_restarted desk-1"))
         status, _, body = await world.ask(daemon, "/once/1", "r2")
@@ -244,7 +244,7 @@
         daemon = await world.add_daemon()
         await world.store.put("servers", "desk-1", target.entry("draining"))
         await world.until(lambda: _has_logged(daemon, "target_leaving desk-1"))
-        target.begin_life()
+        target.begin_incarnation()
         await world.store.put("servers", "desk-1", target.entry())
         await world.until(lambda: _has_logged(daemon, "target_restarted desk-1"))
         assert (await world.ask(daemon, "/once/1", "r1"))[0] == 200
--- a/tests/platform/test_relay_end.py
+++ b/tests/platform/test_relay_end.py
@@ -17,7 +17,7 @@
 def make_core(target, now):
     """Return a gateway that knows one target and a route to it."""
     me = events.Host("entry-1", "entry", "dc-1", "10.0.0.1:80", "10.0.0.1:81")
-    core = gateway.Gateway(me, gateway.Terms(budgets.BudgetRule(0.2, 50.0)))
+    core = gateway.Gateway(me, gateway.PlatformLimits(budgets.BudgetRule(0.2, 50.0)))
     route = routes.Route(
         "read",
         "a.example",
@@ -45,7 +45,7 @@
         [
             gateway.ConfigurationRead(configuration),
             targetlist.TargetsListed((listed,)),
-            events.LeaveAsked(now + 7.5 * SECOND),
+            events.LeaveRequested(now + 7.5 * SECOND),
         ],
     )
     return core
--- a/tests/platform/test_storefeed.py
+++ b/tests/platform/test_storefeed.py
@@ -48,7 +48,7 @@
 
     def __init__(self, rows):
         self.state = world.World(events.Host("entry-1", "entry", "dc-1", "u"))
-        self.state.put_entry(catalogue.me_as_entry(self.state.me))
+        self.state.put_entry(catalogue.own_entry_row(self.state.me))
         self.state.knows_entries = True
         self.stores = kvstores.KvStores(self.state)
         for row in rows:
@@ -91,9 +91,9 @@
         feeding_driver = driver.Driver(core, now, log)
         feed = storefeed.StoreFeed(feeding_driver, stores, random.Random(1))
         async with feed:
-            feed._follow_all(kvstores.FollowStores((row,)))
-            assert not feed.all_asked.is_set()
-            await feed.all_asked.wait()
+            feed._follow_all(kvstores.StoresConfigured((row,)))
+            assert not feed.all_answered.is_set()
+            await feed.all_answered.wait()
             assert stores.asked == [("list", "s:1")]
             assert core.taken[0].parts == (kvstores.PartEvent("1", "a", 100),)
 
--- a/tests/platform/test_withdrawal.py
+++ b/tests/platform/test_withdrawal.py
@@ -90,7 +90,7 @@
         [
             gateway.ConfigurationRead(configuration),
             targetlist.TargetsListed(listed),
-            weights.VersionNamed("m", 2),
+            weights.VersionAnnounced("m", 2),
         ],
     )
     return core
@@ -217,7 +217,7 @@
         simulation.old.turns_away = True
         simulation.old.release.clear()
         simulation.old.admits.set()
-        judge = simulation.served.relay._dialect.judge
+        judge = simulation.served.relay._dialect.ending_of
 
         def withdraw_after(*args):
             ending = judge(*args)
@@ -227,7 +227,7 @@
                 simulation.old.release.set()
             return ending
 
-        simulation.served.relay._dialect.judge = withdraw_after
+        simulation.served.relay._dialect.ending_of = withdraw_after
         assert await simulation.ask("/ask/1") == (200, EVENTS)
         assert len(simulation.new.runs) == 1
 
--- a/tests/support/coldfleet.py
+++ b/tests/support/coldfleet.py
@@ -102,7 +102,7 @@
             How many hosts it knows; all by default. With 0 it hasn't received any list
             of hosts.
         """
-        terms = gateway.Terms(gateways.budgets.BudgetRule(0.2, 50.0))
+        terms = gateway.PlatformLimits(gateways.budgets.BudgetRule(0.2, 50.0))
         core = gateway.Gateway(self._hosts[number], terms, seed=number)
         # At the start of the simulation a host has run for a minute already.
         started = self.time() - (60.0 if self.now == 0 else 0.0) * gateways.SECOND
@@ -145,7 +145,7 @@
 
     # Engines.
 
-    def turn_cold(self, engine, news_after, is_new_life=False):
+    def turn_cold(self, engine, news_after, is_new_incarnation=False):
         """Turn an engine cold now, and send its record to each host a while later.
 
         Parameters
@@ -154,11 +154,11 @@
             The engine.
         news_after : tuple of float
             The least and the greatest delay of the record, in seconds.
-        is_new_life : bool
+        is_new_incarnation : bool
             Whether the engine has restarted.
         """
         engine.revision = next(self._revision)
-        engine.born += is_new_life
+        engine.born += is_new_incarnation
         engine.cold_until = self.now + COLD_FOR
         record = engine.record(self.now)
         for number in range(len(self.cores)):
--- a/tests/support/crashfleet.py
+++ b/tests/support/crashfleet.py
@@ -41,10 +41,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Engine:
-    """An engine, in its current incarnation, numbered by `life`."""
+    """An engine, in its current incarnation, numbered by `incarnation`."""
 
     name: str
-    life: int = 1
+    incarnation: int = 1
     is_up: bool = True
     # The request, host and attempt of each run.
     runs: list = dataclasses.field(default_factory=list)
@@ -100,7 +100,7 @@
     def start_host(self, name, number):
         """Start a host, or restart it with empty memory."""
         me = self._host(name, number)
-        terms = gateway.Terms(gateways.budgets.BudgetRule(0.2, 50.0))
+        terms = gateway.PlatformLimits(gateways.budgets.BudgetRule(0.2, 50.0))
         core = gateway.Gateway(me, terms, seed=number, key="key")
         self.core_by_name[name] = core
         core.number = number
@@ -146,7 +146,7 @@
                 sender, address = self._reply_by_exchange.pop(command.exchange_id)
                 answered = gossip.GossipAnswered(address, command.message)
                 self._deliver(name, sender, answered)
-            case crashes.ProbeLife():
+            case crashes.ProbeTarget():
                 self.after(0.003, self._probe, name, command)
             case quarantine.WriteQuarantine():
                 self.after(0.01, self._write, name, command)
@@ -167,9 +167,9 @@
         self._deliver(name, f"entry-{number}", received)
 
     def _probe(self, name, command):
-        engine = self.engine_by_name[command.life.name]
+        engine = self.engine_by_name[command.incarnation.name]
         if not engine.is_up:
-            self._feed(name, crashes.LifeRefuses(command.life))
+            self._feed(name, crashes.TargetRefusesConnections(command.incarnation))
 
     # The platform.
 
@@ -177,13 +177,13 @@
         record = command.record
         known = self._quarantined.get(record.fingerprint)
         if self.platform_is_away:
-            self._feed(name, quarantine.QuarantineUnwritten(record.fingerprint))
+            self._feed(name, quarantine.QuarantineWriteFailed(record.fingerprint))
         elif (known.revision if known else 0) != record.revision:
             self._feed(name, quarantine.QuarantineRead(known))
         else:
             made = dataclasses.replace(record, revision=next(self._revision))
             self._quarantined[record.fingerprint] = made
-            self._feed(name, quarantine.QuarantineWritten(made, command.is_try))
+            self._feed(name, quarantine.QuarantineWritten(made, command.is_trial))
             self._announce_change(quarantine.QuarantineRead(made))
 
     def _announce_change(self, event):
@@ -201,7 +201,7 @@
     def _listed_targets(self):
         return tuple(
             gateways.make_target(
-                engine.name, "llm", revision=engine.life, born=engine.life
+                engine.name, "llm", revision=engine.incarnation, born=engine.incarnation
             )
             for engine in self.engine_by_name.values()
             if engine.is_up
@@ -226,9 +226,9 @@
 
     def _restart_engine(self, engine):
         engine.is_up = True
-        engine.life += 1
+        engine.incarnation += 1
         target = gateways.make_target(
-            engine.name, "llm", revision=engine.life, born=engine.life
+            engine.name, "llm", revision=engine.incarnation, born=engine.incarnation
         )
         self._announce_change(targetlist.TargetChanged(target))
 
@@ -264,7 +264,7 @@
         engine = self.engine_by_name[forward.target]
         if not engine.is_up:
             self._end_send(asked, name, sends.Ending.REFUSED)
-        elif engine.life != forward.born:
+        elif engine.incarnation != forward.born:
             self._end_send(asked, name, sends.Ending.WRONG_TARGET)
         else:
             engine.runs.append((asked, name, forward.attempt))
@@ -272,18 +272,22 @@
                 self.bad_runs.append((self.now, asked.content))
                 after = self.random.uniform(*_CRASH_DELAY_SECONDS)
                 self.after(
-                    after, self._crash_in_life, engine, engine.life, asked.content
+                    after,
+                    self._crash_in_incarnation,
+                    engine,
+                    engine.incarnation,
+                    asked.content,
                 )
             else:
                 after = self.random.uniform(*_RUN_SECONDS)
-                self.after(after, self._serve, asked, name, engine, engine.life)
+                self.after(after, self._serve, asked, name, engine, engine.incarnation)
 
-    def _crash_in_life(self, engine, life, content):
-        if engine.life == life:
+    def _crash_in_incarnation(self, engine, incarnation, content):
+        if engine.incarnation == incarnation:
             self.crash(engine, content)
 
-    def _serve(self, asked, name, engine, life):
-        if engine.life != life or not engine.is_up:
+    def _serve(self, asked, name, engine, incarnation):
+        if engine.incarnation != incarnation or not engine.is_up:
             return
         engine.runs = [run for run in engine.runs if run[0] is not asked]
         core = self.core_by_name[name]
--- a/tests/support/relays.py
+++ b/tests/support/relays.py
@@ -9,9 +9,9 @@
     connections,
     driver,
     eventlog,
-    lifeprobe,
     measures,
     relay,
+    targetprobe,
 )
 from sesamespindle.decide import events, gateway, kvstores, lease, quarantine, rollout
 from sesamespindle.platform import dialect
@@ -20,7 +20,7 @@
 # ignores them.
 _IGNORED_COMMANDS = (
     gateway.BecameReady,
-    kvstores.FollowStores,
+    kvstores.StoresConfigured,
     lease.ReadLease,
     lease.WriteLease,
     quarantine.RemoveQuarantine,
@@ -60,7 +60,10 @@
     relay_driver = driver.Driver(core, clock, log)
     for kind in _IGNORED_COMMANDS:
         relay_driver.on(kind, lambda command: None)
-    async with connections.make_session() as session, lifeprobe.LifeProbe(relay_driver):
+    async with (
+        connections.make_session() as session,
+        targetprobe.TargetProbe(relay_driver),
+    ):
         served_relay = relay.Relay(
             relay_driver, dialect.Dialect(), session, measures.Measures()
         )
--- a/tests/support/soak/targets.py
+++ b/tests/support/soak/targets.py
@@ -136,9 +136,9 @@
         }
         return json.dumps(value).encode()
 
-    def begin_life(self):
+    def begin_incarnation(self):
         """Start a new incarnation under the same name, with the same weights."""
-        super().begin_life()
+        super().begin_incarnation()
         self.orders_taken = 0
         self._loading_until = 0.0
 
--- a/tests/support/soak/world.py
+++ b/tests/support/soak/world.py
@@ -208,7 +208,7 @@
             return
         link = self.link_by_target[target.name]
         await link.apply({"mode": proxy.Mode.REFUSE, "cut": True})
-        target.begin_life()
+        target.begin_incarnation()
         await asyncio.sleep(seconds)
         await link.apply({"mode": proxy.Mode.PASS, "cut": True})
         self.target_by_name[target.name] = target
--- a/tests/support/standins.py
+++ b/tests/support/standins.py
@@ -282,7 +282,7 @@
         """Stop listening and break all connections, as a crashed process does."""
         self.crashes.append(asyncio.get_running_loop().time())
         self._server.close()
-        self.begin_life()
+        self.begin_incarnation()
 
     def entry(self, state="ready"):
         """Return the record under which the target is listed."""
@@ -298,7 +298,7 @@
             "Seq": 1,
         } | ({"born": self.born} if self.born is not None else {})
 
-    def begin_life(self, is_seen=True):
+    def begin_incarnation(self, is_seen=True):
         """Start a new incarnation under the same name.
 
         Parameters
