--- a/packages/decide/sesamespindle/decide/membership.py
+++ b/packages/decide/sesamespindle/decide/membership.py
@@ -594,9 +594,7 @@
         if row is not None and not row.leaving and row.url == leaving.url:
             row.leaving = True
             self._urgent = True
-            self._state.emit(
-                commands.Note("target_leaving", row.name, "received from a peer")
-            )
+            self._state.emit(commands.Note("target_leaving", row.name, "heard"))
 
     def _merge_member(self, member, inside, now):
         """Store a record that is newer than ours, by incarnation and heartbeat.
--- a/packages/decide/sesamespindle/decide/quarantine.py
+++ b/packages/decide/sesamespindle/decide/quarantine.py
@@ -162,7 +162,7 @@
         """Handle one of this module's events; return whether the event was one."""
         match event:
             case QuarantineRead():
-                self._adopt(event.record, now, "read from the platform or a peer")
+                self._adopt(event.record, now, "read")
             case QuarantineWritten():
                 self._adopt_written(event, now)
             case QuarantineWriteFailed():
@@ -435,7 +435,7 @@
             if is_removed and 0 < record.revision <= listed.revision:
                 self._lift(record.fingerprint, now)
         for record in listed.records:
-            self._adopt(record, now, "listed by the platform")
+            self._adopt(record, now, "listed")
 
     def _lift(self, fingerprint, now):
         """End the quarantine of a request and clear its earlier crashes."""
@@ -478,7 +478,7 @@
         return ranked.index(me) if me in ranked else len(ranked)
 
     def _adopt_written(self, event, now):
-        self._adopt(event.record, now, "written to the platform")
+        self._adopt(event.record, now, "written")
         if event.is_trial:
             self._pending_trials.add(event.record.fingerprint)
 
@@ -536,7 +536,7 @@
             if record is not None and record.decided_at <= cleared.at:
                 self._lift(cleared.fingerprint, cleared.at)
         for record in news.quarantined:
-            self._adopt(record, now, "received from a peer")
+            self._adopt(record, now, "heard")
 
 
 def _are_one_event(crashes):
