--- a/packages/lab/sesamespindle/lab/main.py
+++ b/packages/lab/sesamespindle/lab/main.py
@@ -79,7 +79,8 @@
     examples
         ``umoja`` or ``klantstem``; both by default.
     routing
-        Replay under this policy only, without checking the stated outcomes.
+        Replay under this policy only, without checking the outcomes that
+        ``examples/outcomes`` states for each example.
     """
     routings = (routing,) if routing else bench.ROUTINGS
     outcomes_met = [
@@ -94,6 +95,9 @@
 def run_guards(wanted: str = ""):
     """Remove each guard in turn and check that its test fails without it.
 
+    A guard is a piece of code that prevents a certain failure; ``guards.yaml`` lists
+    them.
+
     Parameters
     ----------
     wanted
@@ -154,7 +158,7 @@
     block_bytes: int = 65_536,
     link_bytes_per_second: float = 500_000_000.0,
 ):
-    """Run a stand-in for a store host."""
+    """Run a stand-in for a store host, which keeps KV cache for the engines."""
 
     async def run():
         stand_in = store_host.StoreHost(
--- a/packages/lab/sesamespindle/lab/slopes.py
+++ b/packages/lab/sesamespindle/lab/slopes.py
@@ -26,7 +26,7 @@
     Attributes
     ----------
     entries, data_centres, targets, accounts : int
-        The number of rows in the table of each kind.
+        The number of entry hosts, data centres, targets and accounts.
     """
 
     entries: int
@@ -118,7 +118,11 @@
         return Cost(_microseconds(run, 100))
 
     def slice_cost(self):
-        """Return the `Cost` of a slice request and its grant at the account's owner."""
+        """Return the `Cost` of a slice request and its grant at the account's owner.
+
+        A slice is a lease on a share of an account's limit. One entry host owns the
+        account and grants slices to the others.
+        """
         owned_accounts = [
             row.name
             for row in self.core.state.accounts
@@ -129,6 +133,7 @@
         holders = [f"entry-{number}" for number in range(1, 4)]
         for holder in holders:
             self._request_slice(account, holder, next(request_numbers))
+        # Every entry host reports that it holds no slice of the account.
         for name in holders + [f"entry-{n}" for n in range(self.size.entries)]:
             self.step(events.HoldingsReported(name, 1, (account,), (), True))
 
