--- a/tests/promises/test_configuration.py
+++ b/tests/promises/test_configuration.py
@@ -151,6 +151,7 @@
     assert [anna.code, bram.code] == [0, 0], anna.output + bram.output
     go(wait_until_active(running_fleet, "training", anna.changed["training"]))
     go(wait_until_active(running_fleet, "delegates", bram.changed["delegates"]))
+    # Publish a folder that holds both changes.
     anna.change("delegates", bram.changed["delegates"])
     go(anna.apply())
     assert anna.code == 0, anna.output
@@ -168,6 +169,7 @@
 @pytest_bdd.then("one is accepted, and the refusal of the other names the contract")
 def one_is_refused(running_fleet, operators, go):
     codes = sorted(operator.code for operator in operators)
+    # Exit code 4 tells of a conflict with another change.
     assert codes == [0, 4]
     winner = next(operator for operator in operators if operator.code == 0)
     loser = next(operator for operator in operators if operator.code == 4)
@@ -179,7 +181,8 @@
 
 @pytest_bdd.when("two operators each use up the rest of the pool's concurrency")
 def use_up_concurrency(operators, go):
-    # The contracts for pool glossary-assistant leave about 40 of its limit of 400.
+    # The contracts for pool glossary-assistant leave about 40 of its concurrency limit
+    # of 400. Each change fits into these, but not both together.
     anna, bram = operators
     anna.change("ministry-of-health", 95)
     bram.change("ministry-of-justice", 80)
--- a/tests/promises/test_crashing_prompts.py
+++ b/tests/promises/test_crashing_prompts.py
@@ -58,6 +58,7 @@
 
 @pytest_bdd.then("three engines have crashed")
 def three_have_crashed(running_fleet):
+    # A prompt is quarantined from its third crash on.
     assert len(running_engines(running_fleet)) == ENGINES - 3
 
 
