--- a/tests/support/coldfleet.py
+++ b/tests/support/coldfleet.py
@@ -1,5 +1,6 @@
 """Simulates the decision logic of many hosts in front of engines that turn cold.
 
+A cold engine has just started and can handle only a few requests a second.
 Hosts learn of targets and of each other only what a test sends them, when it does.
 """
 
@@ -19,12 +20,16 @@
     targetlist,
 )
 
+# How long an engine stays cold, in seconds.
 COLD_FOR = 3.0
+# The requests per second that a cold engine can handle, from all hosts together.
 PER_SECOND = 8.8
 # The most requests that a cold engine may get in any second: 1.5 times the rate that it
 # can handle, and five more.
 MOST_IN_A_SECOND = PER_SECOND * 1.5 + 5
+# The bounds of the time that a request runs.
 _RUN_SECONDS = (0.05, 0.6)
+# The number of different first parts of prompts, which requests share.
 _CONTEXTS = 400
 
 
@@ -58,7 +63,7 @@
     seed : int
         The seed of all random choices.
     hosts, engines : int
-        How many there are.
+        The number of hosts and of engines.
 
     Attributes
     ----------
@@ -92,19 +97,20 @@
         )
 
     def start_host(self, number, knows=None):
-        """Start or restart a host, without any memory.
+        """Start or restart a host, which keeps nothing from before.
 
         Parameters
         ----------
         number : int
-            Which host.
+            The host's number.
         knows : int, optional
             How many hosts it knows; all by default. With 0 it hasn't received any list
             of hosts.
         """
         terms = gateway.PlatformLimits(gateways.budgets.BudgetRule(0.2, 50.0))
         core = gateway.Gateway(self._hosts[number], terms, seed=number)
-        # At the start of the simulation a host has run for a minute already.
+        # Hosts send nothing to cold targets until they have run for some time. Those
+        # of the start of the simulation count as having run for a minute.
         started = self.time() - (60.0 if self.now == 0 else 0.0) * gateways.SECOND
         core.state.pauses.started_at = started
         self.cores[number] = core
--- a/tests/support/gateways.py
+++ b/tests/support/gateways.py
@@ -79,7 +79,10 @@
 
 
 def make_cold_configuration(lasts=3 * SECOND, per_second=8.8):
-    """Return a configuration in which targets of both services need a warm-up."""
+    """Return a configuration in which targets of every service start cold.
+
+    A cold target can handle only a few requests a second, here `per_second`.
+    """
     made = make_configuration()
     cold_start = routes.ColdStart(lasts, per_second)
     service_by_name = {
--- a/tests/support/soak/play.py
+++ b/tests/support/soak/play.py
@@ -18,13 +18,15 @@
 _PLANNED_SHARE = 0.5
 _MAX_PLANNED = 3
 # The longest time without faults after a burst, and the time before and after planned
-# changes. It is longer than the 3 s of contact after which the bounds apply again.
+# changes. It is longer than the 3 s for which a daemon must have been in contact with
+# the store before the checker holds it to the platform's time limits again.
 _UNDISTURBED_SECONDS = 4.0
 # The time without faults at the end. All requests must succeed after 12 s of it, and
 # all engines must run the newest weights after 11 s.
 _END_SECONDS = 14.0
-# The share of seeds in which weights are announced just before daemons fail, and the
-# bounds between which the share of late orders in such a seed is drawn.
+# The share of seeds in which new weight versions are announced just before daemons
+# fail, and the bounds between which the share of late orders in such a seed is drawn.
+# A late order to load weights gets no answer, and the engine carries it out later.
 _ANNOUNCEMENTS_SHARE = 0.6
 _LATE_ORDERS_SHARES = (0.3, 1.0)
 _MAX_ANNOUNCEMENTS = 2
@@ -36,7 +38,8 @@
 # paused, so that these receive the announcement as they resume.
 _PAUSES_SHARE = 0.5
 _PAUSE_SECONDS = (4.0, 8.0)
-# The time without faults after these faults: engines have 8 s for new weights.
+# The time without faults after those that follow an announcement, and after pauses: the
+# platform gives engines 8 s to run an announced weight version.
 _AFTER_FAULTS_SECONDS = 8.0
 # For how long a request that crashes engines is repeated, and the pause between two
 # of its attempts, each drawn between these bounds.
@@ -69,9 +72,9 @@
     Parameters
     ----------
     seed : int
-        Decides what is drawn.
+        The seed of all random choices.
     seconds : float
-        How long bursts of faults are started.
+        For how long new bursts of faults are started.
     daemons : int
         The number of entry hosts.
     caller_count : int
--- a/tests/support/soak/targets.py
+++ b/tests/support/soak/targets.py
@@ -11,12 +11,14 @@
 
 # How long an engine loads new weights, in seconds; meanwhile it refuses prompts.
 _LOAD_SECONDS = 0.4
-# The bounds of the delay after which an order without an answer is carried out.
+# The bounds of the delay after which an engine carries out a late order to load
+# weights, which it doesn't answer.
 _ORDER_DELAY_SECONDS = (2.0, 12.0)
 _EVENT_SECONDS = 0.03
 # One in _LONG_ONE_IN streams is long: if it begins 2.5 s or more after the SIGTERM of
-# its host, it outlasts the host's 8 s of grace. It fits into the time of a leaving
-# target, which serves for 8 s more and may be sent requests in the first 2.5 s of them.
+# its host, it still runs when the host's 8 s of grace time are over. A target that
+# leaves can complete it: such a target serves for 8 s more, and daemons may send to it
+# only in the first 2.5 s of them.
 _LONG_ONE_IN = 5
 _LONG_EVENTS, _LONG_EVENT_SECONDS = 12, 0.45
 _WORK_SECONDS = 0.02
@@ -73,14 +75,15 @@
         The share of plain answers, or of events of streams, at which it breaks the
         connection.
     late_orders_share : float
-        The share of orders that get no answer and are carried out later.
+        The share of orders to load weights that it carries out late, without an
+        answer.
     order_source : random.Random
-        Decides which orders these are, and when they are carried out.
+        Decides which orders are late, and by how much.
     on_crashing_request : callable
         Called with the target and the request's path when a request crashes it.
     orders_taken : int
-        The number of orders carried out in this incarnation, the ``Seq`` of its
-        report. An order that expects another number is refused.
+        The number of orders carried out in this incarnation. Its report sends it as
+        ``Seq``, and an order whose ``Expect`` is another number is refused.
     """
 
     def __init__(self, name, address, service, listed_address, journal, now, source):
