--- a/tests/soak/test_checker.py
+++ b/tests/soak/test_checker.py
@@ -191,7 +191,8 @@
 @pytest.mark.parametrize(
     ("subject", "area", "began", "ended", "planned", "is_found"),
     [
-        # No other daemon is available, or not for long enough.
+        # The other daemon, which stays, is unavailable, or hasn't been back for the 5 s
+        # after which its peers must know it.
         ("entry-2", records.Area.DAEMON, 20.0, 28.0, True, False),
         ("entry-2", records.Area.DAEMON, 9.0, 17.0, True, False),
         # The other one was back in time, or began to leave only afterwards.
@@ -199,8 +200,8 @@
         ("entry-2", records.Area.DAEMON, 22.0, 30.0, True, True),
         # The daemon that answers started too recently to know its peers.
         ("entry-3", records.Area.DAEMON, 9.0, 17.0, True, False),
-        # A failing store keeps daemons from learning of each other, or its failure was
-        # over for long enough, or the fault is one of a target.
+        # A store that fails keeps daemons from learning of each other. It doesn't if
+        # its failure ended long enough before, nor does a fault of a target.
         ("", records.Area.STORE, 13.5, 14.0, False, False),
         ("", records.Area.STORE, 12.0, 13.0, False, True),
         ("desk-1", records.Area.TARGET, 17.0, 19.0, False, True),
@@ -291,7 +292,8 @@
     """A daemon sends a prompt to an engine whose weights were superseded 11 s before.
 
     It missed the announcement because it had exited or was paused. It counts the
-    version's age from its own receipt of the announcement, and is back for 4 s.
+    time since the announcement from its own receipt of it, and has been back for 4 s
+    as it sends the prompt.
     """
     fault = records.Fault(what, records.Area.DAEMON, subject, 20.5, 27.0)
     assert _is_late_run_found(fault)
@@ -300,7 +302,8 @@
 @pytest.mark.parametrize(
     ("subject", "ended", "is_found"),
     [
-        # Back for less or more than the 3 s of contact that the bound presumes.
+        # Back for less or more than the 3 s of contact with the store after which the
+        # time limit for weights applies to a daemon.
         ("entry-1", 28.2, False),
         ("entry-1", 27.8, True),
         # Another daemon failed, not the one that sent the prompt.
@@ -327,17 +330,20 @@
 @pytest.mark.parametrize(
     ("what", "area", "subject", "began", "ended", "is_found"),
     [
-        # The store counts as stable 3 s after its failure: from 22.4 or 22.6 s on.
+        # The store counts as stable 3 s after its failure: from 22.4 or 22.6 s on. From
+        # then on engines have 8 s for new weights, and the checker allows 0.5 s more
+        # for the error of its clock; the run begins at 31 s.
         ("is_away", records.Area.STORE, "", 18.0, 19.4, True),
         ("is_away", records.Area.STORE, "", 18.0, 19.6, False),
         ("is_away", records.Area.STORE, "", 24.0, 25.0, False),
-        # The fault came after the time was over; it affects the sending daemon or not.
+        # The fault began after the time for new weights was over. The run is allowed
+        # only if the fault affects the daemon that sent it or its link to the target.
         ("link freeze", records.Area.TARGET, "llm-2", 28.6, 29.0, True),
         ("link freeze", records.Area.TARGET, "llm-1", 28.6, 29.0, False),
         ("is_away", records.Area.STORE, "", 28.6, 29.0, False),
         ("link freeze", records.Area.STORE, "entry-2", 28.6, 29.0, True),
         ("link freeze", records.Area.STORE, "entry-1", 28.6, 29.0, False),
-        # A fault of any link stops the time.
+        # During a fault of any link the time for new weights doesn't count.
         ("link freeze", records.Area.TARGET, "llm-2", 21.0, 22.4, True),
         ("link freeze", records.Area.TARGET, "llm-2", 21.0, 22.6, False),
         ("link freeze", records.Area.STORE, "entry-2", 21.0, 22.4, True),
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -11,27 +11,31 @@
     # Two overlapping faults leave the store's stand-in losing answers for good, so
     # that no engine is ordered to load the new weights: a fault of the soak itself.
     2011,
-    # One probe gets no answer while every process, the soak's own included, is stalled
-    # for seconds on a machine with much other load. Three repeats didn't show it.
+    # On a machine with much other load every process, the soak's own included, is
+    # stalled for seconds, and one probe request gets no answer. Three repeats of the
+    # seed didn't show it.
     9112,
     # The data centres stop one after the other. A host that accepts all requests for a
     # fixed time after its SIGTERM accepts a long stream 3.05 s after it, and cuts it
-    # off as it exits. For seconds after a data centre is back, directories don't name
-    # its hosts because its pulse has fallen, and name leaving hosts instead.
+    # off as it exits. A data centre counts as reachable while its pulse, a count of its
+    # gossip rounds, rises. The pulse fell as all its hosts restarted, so for seconds
+    # after the data centre is back, directories don't name its hosts, and name leaving
+    # hosts instead.
     80121,
 )
 
 # Weights are announced just before daemons end or while they are paused, and targets
-# carry orders out late. A host that has just started, or resumes after a pause, counts
-# the version's age from then on, and sends prompts to targets with superseded weights
-# for 6.4 s more.
+# carry orders out late. The failure: a host that has just started, or resumes after a
+# pause, counts the time since the announcement from then on, and sends prompts to
+# targets with superseded weights for 6.4 s more.
 SEEDS_WITH_ANNOUNCEMENTS = (
     # All hosts are killed 0.9 s after an announcement and are back 4 s later. They send
-    # to all targets until 13.6 s after the announcement.
+    # to all targets, with superseded weights too, until 13.6 s after the announcement.
     4123,
     # Hosts are killed and stopped in turn, and two are paused during an announcement.
-    # These send to all targets until 10.3 s after it: the answer to their watch waits
-    # in the socket until they resume, and they take it for new.
+    # These two send to all targets until 10.3 s after it: the answer to their watch
+    # request on the store waits in the socket while they are paused, and as they resume
+    # they treat it as just sent.
     4296,
 )
 
